--- a/lab/src/main/java/fawnlb/lab/cli/Main.java
+++ b/lab/src/main/java/fawnlb/lab/cli/Main.java
@@ -18,30 +18,42 @@
 
 /** The lab's command line. */
 public final class Main {
-    private static final List<Scenario> SCENARIOS = List.of(new StartWithoutDiscovery(), new SnapshotCrash(), new StartTime(),
-            new StreamFaults(), new FleetSize(), new Soak(), new StalledBoxes(), new SlowReaders());
+    private static final List<Scenario> SCENARIOS = List.of(
+            new StartWithoutDiscovery(),
+            new SnapshotCrash(),
+            new StartTime(),
+            new StreamFaults(),
+            new FleetSize(),
+            new Soak(),
+            new StalledBoxes(),
+            new SlowReaders());
 
-    private Main() { }
+    private Main() {}
 
     @Parameters(commandDescription = "Play a named scenario")
     private static final class Run {
         @Parameter(description = "NAME", required = true)
         private List<String> names = new ArrayList<>();
+
         @Parameter(names = "--seed", description = "what everything is drawn from")
         private long seed = 1;
+
         @Parameter(names = "--quick", description = "a shorter form with the same claims")
         private boolean quick;
     }
 
     @Parameters(commandDescription = "Name the scenarios")
-    private static final class Names { }
+    private static final class Names {}
 
     /** Exit codes: 0 held, 1 fell short, 2 wrong words. */
     public static void main(String[] args) throws Exception {
         System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tT %4$s %5$s%6$s%n");
         Run run = new Run();
-        JCommander line = JCommander.newBuilder().programName("java -jar fawnlb-lab.jar").addCommand("run", run)
-                .addCommand("list", new Names()).build();
+        JCommander line = JCommander.newBuilder()
+                .programName("java -jar fawnlb-lab.jar")
+                .addCommand("run", run)
+                .addCommand("list", new Names())
+                .build();
         try {
             line.parse(args);
             if ("list".equals(line.getParsedCommand())) {
@@ -51,8 +63,11 @@
             if (line.getParsedCommand() == null || run.names.size() != 1) {
                 throw new ParameterException("expected 'list' or 'run NAME'");
             }
-            Scenario scenario = SCENARIOS.stream().filter(s -> s.name().equals(run.names.get(0))).findFirst()
-                    .orElseThrow(() -> new ParameterException("no scenario '" + run.names.get(0) + "'; 'list' names them"));
+            Scenario scenario = SCENARIOS.stream()
+                    .filter(s -> s.name().equals(run.names.get(0)))
+                    .findFirst()
+                    .orElseThrow(
+                            () -> new ParameterException("no scenario '" + run.names.get(0) + "'; 'list' names them"));
             System.exit(scenario.play(run.seed, run.quick).print(System.out) ? 0 : 1);
         } catch (ParameterException e) {
             System.err.println("fawnlb-lab: " + e.getMessage());
--- a/lab/src/main/java/fawnlb/lab/load/Readers.java
+++ b/lab/src/main/java/fawnlb/lab/load/Readers.java
@@ -12,15 +12,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Clients that ask for long answers and don't read them as they come. Their receive buffers are small, so that what they
- * leave unread is soon the node's to hold. They run on a thread of their own.
+ * Clients that ask for long answers and don't read them as they come. Their receive buffers are small, so that what
+ * they leave unread is soon the node's to hold. They run on a thread of their own.
  */
 public final class Readers implements AutoCloseable {
     private static final int RECEIVE_BUFFER = 2048;
     private static final long ROUND_MS = 1000;
 
     /** How a client reads: a byte in each second, nothing at all, nothing for some seconds at a time, or it leaves. */
-    public enum Manner { SLOW, STOPPED, STOP_AND_GO, LEAVES }
+    public enum Manner {
+        SLOW,
+        STOPPED,
+        STOP_AND_GO,
+        LEAVES
+    }
 
     private final List<Reader> readers = new ArrayList<>();
     private final Thread thread = new Thread(this::run, "readers");
@@ -46,8 +51,9 @@
         String body = "{\"model\":\"advisor\",\"stream\":true,\"messages\":[]}";
         rules.asked(id, name);
         ByteBuffer request = ByteBuffer.wrap(("POST /v1/chat/completions?out=" + Integer.toHexString(out) + "&pad="
-                + Integer.toHexString(pad) + " HTTP/1.1\r\nHost: lab\r\nX-Request-Id: " + id + "\r\nX-Class: advisor-chat\r\nX-Key: "
-                + id + "\r\nX-Deadline-Ms: 7000\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                        + Integer.toHexString(pad) + " HTTP/1.1\r\nHost: lab\r\nX-Request-Id: " + id
+                        + "\r\nX-Class: advisor-chat\r\nX-Key: "
+                        + id + "\r\nX-Deadline-Ms: 7000\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.ISO_8859_1));
         while (request.hasRemaining()) {
             channel.write(request);
--- a/lab/src/main/java/fawnlb/lab/net/Ports.java
+++ b/lab/src/main/java/fawnlb/lab/net/Ports.java
@@ -12,11 +12,11 @@
     private static final int COUNT = 17_000;
     private static final int MAX_TRIED = 1000;
 
-    private Ports() { }
+    private Ports() {}
 
     /**
-     * A port that is free at the moment, and not one of those that Linux gives to outgoing connections: while a server is down, any
-     * of these would take its address.
+     * A port that is free at the moment, and not one of those that Linux gives to outgoing connections: while a server
+     * is down, any of these would take its address.
      */
     public static int free() throws IOException {
         for (int tries = 0; tries < MAX_TRIED; tries++) {
--- a/lab/src/main/java/fawnlb/lab/net/Spoiler.java
+++ b/lab/src/main/java/fawnlb/lab/net/Spoiler.java
@@ -9,7 +9,8 @@
 
 /** Carries out a fault on the bytes of one answer, on their way to the connection. */
 final class Spoiler {
-    private static final byte[] GARBAGE = {0, 1, 2, (byte) 0xff, (byte) 0xfe, 3, 4, 5, (byte) 0xc0, 6, 7, 8, 0, 0, 1, 2};
+    private static final byte[] GARBAGE = {0, 1, 2, (byte) 0xff, (byte) 0xfe, 3, 4, 5, (byte) 0xc0, 6, 7, 8, 0, 0, 1, 2
+    };
     private static final long DRIP_MS = 1;
     private static final String SECOND = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond";
 
--- a/lab/src/main/java/fawnlb/lab/roster/RosterServer.java
+++ b/lab/src/main/java/fawnlb/lab/roster/RosterServer.java
@@ -31,6 +31,7 @@
     private static final int HISTORY = 64;
     /** How long a call takes of the one service that all nodes share, and how long it may wait for its turn. */
     private static final long CALL = 5_000_000;
+
     private static final long PATIENCE = 2_000_000_000L;
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -46,18 +47,23 @@
     private boolean up = true;
     private long bytesTold;
 
-    private record Watch(String node, Exchange exchange) { }
+    private record Watch(String node, Exchange exchange) {}
 
     /** Delay: nanoseconds from a change until it is told. */
-    public RosterServer(Collection<String> nodes, long revision, long delay, XnioWorker worker, Timers timers,
-                        RuleChecker rules) throws IOException {
+    public RosterServer(
+            Collection<String> nodes, long revision, long delay, XnioWorker worker, Timers timers, RuleChecker rules)
+            throws IOException {
         this.timers = timers;
         this.rules = rules;
         this.revision = revision;
         this.delay = delay;
         for (String node : nodes) {
-            servers.put(node, new HttpServer(worker, new InetSocketAddress("127.0.0.1", 0),
-                    (request, exchange) -> request(node, request, exchange)));
+            servers.put(
+                    node,
+                    new HttpServer(
+                            worker,
+                            new InetSocketAddress("127.0.0.1", 0),
+                            (request, exchange) -> request(node, request, exchange)));
         }
         beat();
     }
@@ -160,12 +166,14 @@
         String all = list(revision, true, members.values());
         tell(node, List.copyOf(members.values()));
         if (!watching) {
-            exchange.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + all.length() + "\r\n\r\n" + all);
+            exchange.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + all.length()
+                    + "\r\n\r\n" + all);
             return;
         }
         long from = Long.parseLong(request.path().replaceAll(".*from=(\\d+).*", "$1"));
         exchange.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
-        boolean follows = from > 0 && from <= revision && (changes.isEmpty() ? from == revision : from >= changes.firstKey() - 1);
+        boolean follows =
+                from > 0 && from <= revision && (changes.isEmpty() ? from == revision : from >= changes.firstKey() - 1);
         if (follows) {
             List<Member> since = new ArrayList<>();
             changes.tailMap(from, false).values().forEach(since::addAll);
--- a/lab/src/main/java/fawnlb/lab/scenario/Folders.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/Folders.java
@@ -9,7 +9,7 @@
 
 /** Folders that a run makes and takes away again. */
 final class Folders {
-    private Folders() { }
+    private Folders() {}
 
     /** Copies the files of a folder to another, which is made. */
     static void copy(Path folder, Path to) throws IOException {
--- a/lab/src/main/java/fawnlb/lab/shim/FaultShim.java
+++ b/lab/src/main/java/fawnlb/lab/shim/FaultShim.java
@@ -12,13 +12,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lets system calls of one node fail and its wall clock step while it runs, by a library that is preloaded into its process
- * ({@code faults.c}, compiled by the machine's C compiler). What fails stands in a file that both processes map.
+ * Lets system calls of one node fail and its wall clock step while it runs, by a library that is preloaded into its
+ * process ({@code faults.c}, compiled by the machine's C compiler). What fails stands in a file that both processes
+ * map.
  */
 public final class FaultShim {
     private static final int WORDS = 64;
     /** Places of words, as {@code faults.c} has them. */
     private static final int WALL_OFFSET = 0;
+
     private static final int MAX_READ = 1;
     private static final int MAX_WRITE = 2;
     private static final int CALLS = 8;
@@ -26,12 +28,30 @@
     private static final long COMPILE_SECONDS = 60;
 
     /** System calls that can fail. */
-    public enum Call { ACCEPT, CONNECT, SOCKET, READ, WRITE, FSYNC, FILE_WRITE }
+    public enum Call {
+        ACCEPT,
+        CONNECT,
+        SOCKET,
+        READ,
+        WRITE,
+        FSYNC,
+        FILE_WRITE
+    }
 
     /** Errors by their numbers on Linux. */
     public enum Errno {
-        EINTR(4), EIO(5), ENOMEM(12), ENFILE(23), EMFILE(24), ENOSPC(28), EADDRNOTAVAIL(99), ENETUNREACH(101), ECONNABORTED(103),
-        ENOBUFS(105), ETIMEDOUT(110), EHOSTUNREACH(113);
+        EINTR(4),
+        EIO(5),
+        ENOMEM(12),
+        ENFILE(23),
+        EMFILE(24),
+        ENOSPC(28),
+        EADDRNOTAVAIL(99),
+        ENETUNREACH(101),
+        ECONNABORTED(103),
+        ENOBUFS(105),
+        ETIMEDOUT(110),
+        EHOSTUNREACH(113);
 
         private final int number;
 
@@ -67,8 +87,19 @@
             Files.copy(in, source);
         }
         Path library = folder.resolve("faults.so");
-        Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-Wall", "-Werror", "-o", library.toString(),
-                source.toString(), "-ldl").inheritIO().start();
+        Process compiler = new ProcessBuilder(
+                        "cc",
+                        "-shared",
+                        "-fPIC",
+                        "-O1",
+                        "-Wall",
+                        "-Werror",
+                        "-o",
+                        library.toString(),
+                        source.toString(),
+                        "-ldl")
+                .inheritIO()
+                .start();
         if (!compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
             throw new IOException("the library of faults can't be compiled");
         }
@@ -77,9 +108,11 @@
 
     /** Faults of one node, none so far. */
     public static FaultShim create(Path library, Path control) throws IOException {
-        try (FileChannel file = FileChannel.open(control, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+        try (FileChannel file = FileChannel.open(
+                control, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             LongBuffer words = file.map(FileChannel.MapMode.READ_WRITE, 0, (long) WORDS * Long.BYTES)
-                    .order(ByteOrder.nativeOrder()).asLongBuffer();
+                    .order(ByteOrder.nativeOrder())
+                    .asLongBuffer();
             return new FaultShim(library, control, words);
         }
     }
--- a/node/src/main/java/fawnlb/actor/EventLoopLag.java
+++ b/node/src/main/java/fawnlb/actor/EventLoopLag.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.Executor;
 
 /**
- * How long ago what is being read may have arrived. An event loop looks at its sockets once a round; while it works through what
- * it found, further bytes wait unseen, and on a small part of a core that can be long. Whoever has to keep a deadline that began
- * with the arrival asks here.
+ * How long ago what is being read may have arrived. An event loop looks at its sockets once a round; while it works
+ * through what it found, further bytes wait unseen, and on a small part of a core that can be long. Whoever has to keep
+ * a deadline that began with the arrival asks here.
  *
  * <p>It belongs to the event loop's thread. Socket handlers call {@link #handling} first.
  */
--- a/node/src/main/java/fawnlb/actor/Guard.java
+++ b/node/src/main/java/fawnlb/actor/Guard.java
@@ -3,11 +3,14 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Runs what may throw although nobody expects it, on a thread that must go on and for somebody who waits for the outcome. */
+/**
+ * Runs what may throw although nobody expects it, on a thread that must go on and for somebody who waits for the
+ * outcome.
+ */
 public final class Guard {
     private static final Logger LOG = Logger.getLogger(Guard.class.getName());
 
-    private Guard() { }
+    private Guard() {}
 
     /**
      * Runs the task.
--- a/node/src/main/java/fawnlb/actor/IoTimers.java
+++ b/node/src/main/java/fawnlb/actor/IoTimers.java
@@ -33,7 +33,8 @@
 
     @Override
     public Timer after(long nanos, Runnable task) {
-        // XNIO counts whole milliseconds and would round down: a task that comes early finds nothing due and asks again.
+        // XNIO counts whole milliseconds and would round down: a task that comes early finds nothing due and asks
+        // again.
         return executor.executeAfter(task, Math.max(0, nanos + MS - 1) / MS, TimeUnit.MILLISECONDS)::remove;
     }
 }
--- a/node/src/main/java/fawnlb/actor/IoTurn.java
+++ b/node/src/main/java/fawnlb/actor/IoTurn.java
@@ -7,7 +7,7 @@
 
 /** A turn on the I/O thread that another thread waits for. */
 public final class IoTurn {
-    private IoTurn() { }
+    private IoTurn() {}
 
     /** What the task returns; all that had been handed to the thread before has run by then. */
     public static <T> T take(Executor thread, Callable<T> task) throws InterruptedException {
--- a/node/src/main/java/fawnlb/actor/Timers.java
+++ b/node/src/main/java/fawnlb/actor/Timers.java
@@ -9,7 +9,7 @@
     Timer after(long nanos, Runnable task);
 
     /** Told at the beginning of each socket handler, so that {@link #eventAge} can be known. */
-    default void handlingEvent() { }
+    default void handlingEvent() {}
 
     /** How long the bytes that are being read may have waited for this thread, in nanoseconds, at the longest. */
     default long eventAge() {
--- a/node/src/main/java/fawnlb/actor/Watchdog.java
+++ b/node/src/main/java/fawnlb/actor/Watchdog.java
@@ -15,6 +15,7 @@
     public static final long TOO_LONG = 2_000_000_000L;
     /** How often it is to be asked. */
     public static final long PACE = TOO_LONG / 2;
+
     private static final int FRAMES = 12;
 
     private final Executor watched;
@@ -49,7 +50,8 @@
             askedAt = now;
         } else if (!said && now - askedAt >= TOO_LONG) {
             said = true;
-            StringBuilder text = new StringBuilder("the I/O thread has not turned for " + (now - askedAt) / 1_000_000 + " ms; it is at");
+            StringBuilder text = new StringBuilder(
+                    "the I/O thread has not turned for " + (now - askedAt) / 1_000_000 + " ms; it is at");
             StackTraceElement[] frames = stack.get();
             for (int i = 0; i < Math.min(FRAMES, frames.length); i++) {
                 text.append(i == 0 ? " " : " < ").append(frames[i]);
--- a/node/src/main/java/fawnlb/admin/AdminClient.java
+++ b/node/src/main/java/fawnlb/admin/AdminClient.java
@@ -11,7 +11,7 @@
 public final class AdminClient {
     private static final int TIMEOUT_MS = 5000;
 
-    private AdminClient() { }
+    private AdminClient() {}
 
     /** The table of backends, as a person reads it or as JSON. */
     public static String backends(InetSocketAddress admin, boolean json) throws IOException {
--- a/node/src/main/java/fawnlb/admin/AdminFront.java
+++ b/node/src/main/java/fawnlb/admin/AdminFront.java
@@ -35,10 +35,15 @@
         }
         switch (exchange.getRequestPath()) {
             case "/targets" -> say(exchange, StatusCodes.OK, "text/plain", text());
-            case "/targets.json" -> say(exchange, StatusCodes.OK, "application/json",
-                    FiguresTable.json(streams.figures(), addresses));
+            case "/targets.json" ->
+                say(exchange, StatusCodes.OK, "application/json", FiguresTable.json(streams.figures(), addresses));
             case "/metrics" -> say(exchange, StatusCodes.OK, "text/plain; version=0.0.4", Metrics.text());
-            default -> say(exchange, StatusCodes.NOT_FOUND, "text/plain", "no such path; there are /targets, /targets.json and /metrics\n");
+            default ->
+                say(
+                        exchange,
+                        StatusCodes.NOT_FOUND,
+                        "text/plain",
+                        "no such path; there are /targets, /targets.json and /metrics\n");
         }
     }
 
--- a/node/src/main/java/fawnlb/admin/FiguresTable.java
+++ b/node/src/main/java/fawnlb/admin/FiguresTable.java
@@ -16,15 +16,22 @@
 final class FiguresTable {
     private static final String ROW = "%-16s %-22s %5s %9s %9s  %-34s %s%n";
 
-    private FiguresTable() { }
+    private FiguresTable() {}
 
     /** A table; {@code address}: where a backend listens. */
     static String text(List<Figures> all, LongFunction<String> address) {
-        StringBuilder out = new StringBuilder(String.format(ROW, "target", "address", "open", "held", "cut after", "open, by state",
-                "ended, by how"));
+        StringBuilder out = new StringBuilder(String.format(
+                ROW, "target", "address", "open", "held", "cut after", "open, by state", "ended, by how"));
         for (Figures one : all) {
-            out.append(String.format(ROW, name(one), address.apply(one.backend()), one.open(), one.heldBytes() + " B",
-                    one.allowedGap() / 1_000_000 + " ms", states(one), pairs(one.ends())));
+            out.append(String.format(
+                    ROW,
+                    name(one),
+                    address.apply(one.backend()),
+                    one.open(),
+                    one.heldBytes() + " B",
+                    one.allowedGap() / 1_000_000 + " ms",
+                    states(one),
+                    pairs(one.ends())));
         }
         return out.toString();
     }
@@ -65,12 +72,18 @@
     }
 
     private static String states(Figures one) {
-        return one.states().isEmpty() ? "-" : one.states().entrySet().stream()
-                .map(state -> state.getKey().words() + ' ' + state.getValue()).collect(Collectors.joining(", "));
+        return one.states().isEmpty()
+                ? "-"
+                : one.states().entrySet().stream()
+                        .map(state -> state.getKey().words() + ' ' + state.getValue())
+                        .collect(Collectors.joining(", "));
     }
 
     private static String pairs(Map<String, Long> counts) {
-        return counts.isEmpty() ? "-" : counts.entrySet().stream().map(count -> count.getKey() + ' ' + count.getValue())
-                .collect(Collectors.joining(", "));
+        return counts.isEmpty()
+                ? "-"
+                : counts.entrySet().stream()
+                        .map(count -> count.getKey() + ' ' + count.getValue())
+                        .collect(Collectors.joining(", "));
     }
 }
--- a/node/src/main/java/fawnlb/backend/Backend.java
+++ b/node/src/main/java/fawnlb/backend/Backend.java
@@ -31,20 +31,33 @@
 /** One backend's actor: its connections and the attempts on them. */
 final class Backend {
     private static final Logger LOG = Logger.getLogger(Backend.class.getName());
-    /** What is read of an answer that is not passed on, so that its connection can be used again: so many bytes
-     *  for so long. */
+    /**
+     * What is read of an answer that is not passed on, so that its connection can be used again: so many bytes for so
+     * long.
+     */
     private static final int MAX_DISCARDED_BYTES = 64 * 1024;
+
     private static final long DISCARD = 250_000_000;
 
     /** An answer that is not streamed is kept until it is whole, and may be so long. */
     private static final int MAX_WHOLE_BYTES = 1 << 20;
 
-    /** A connect that fails for want of something on this machine is tried again so often, after so many nanoseconds. */
+    /**
+     * A connect that fails for want of something on this machine is tried again so often, after so many nanoseconds.
+     */
     private static final int MAX_LOCAL_FAILURES = 4;
+
     private static final long LOCAL_FAILURE_PAUSE = 50_000_000;
 
     /** What stands against sending a request that has been decided on. */
-    private enum SendObstacle { NONE, BACKEND_LEFT, BACKEND_DRAINS, OUT_OF_TIME, REPEAT_WINDOW_OVER, NOT_WANTED }
+    private enum SendObstacle {
+        NONE,
+        BACKEND_LEFT,
+        BACKEND_DRAINS,
+        OUT_OF_TIME,
+        REPEAT_WINDOW_OVER,
+        NOT_WANTED
+    }
 
     /** What a backend finds wrong with the request itself: it would with every backend, and the client can mend it. */
     private static final Set<Integer> CLIENT_FAULTS = Set.of(400, 404, 413, 422);
@@ -63,8 +76,17 @@
     private boolean left;
     private boolean draining;
 
-    Backend(long id, InetSocketAddress address, long since, Dialect dialect, XnioIoThread thread, Timers timers, Mailbox mailbox,
-           BackendPool.Limits limits, BackendPool pool, Streams streams) {
+    Backend(
+            long id,
+            InetSocketAddress address,
+            long since,
+            Dialect dialect,
+            XnioIoThread thread,
+            Timers timers,
+            Mailbox mailbox,
+            BackendPool.Limits limits,
+            BackendPool pool,
+            Streams streams) {
         this.id = id;
         this.address = address;
         this.since = since;
@@ -87,8 +109,9 @@
     }
 
     /**
-     * Gone from the list or moved: idle connections close, attempts that are out run on. An attempt may wait in the mailbox
-     * before this; what is kept of the backend goes when that has ended too, and would stay if it went before it began.
+     * Gone from the list or moved: idle connections close, attempts that are out run on. An attempt may wait in the
+     * mailbox before this; what is kept of the backend goes when that has ended too, and would stay if it went before
+     * it began.
      */
     void leave() {
         mailbox.tellAlways(() -> {
@@ -104,13 +127,15 @@
     }
 
     /** Prompt tokens and again: as {@link Streams#open} has them; the rest as {@link Backends#attempt}. */
-    Backends.Attempt attempt(Parcel parcel, double promptTokens, long until, long sendBy, boolean again,
-            Backends.Report report) {
+    Backends.Attempt attempt(
+            Parcel parcel, double promptTokens, long until, long sendBy, boolean again, Backends.Report report) {
         Running running = new Running(parcel, until, sendBy, report);
-        boolean told = mailbox.tell(() -> {
-            running.open(promptTokens, again);
-            running.begin();
-        }, running::fail);
+        boolean told = mailbox.tell(
+                () -> {
+                    running.open(promptTokens, again);
+                    running.begin();
+                },
+                running::fail);
         if (!told) {
             report.ended(Ending.of(End.NOT_SENT), 0, List.of());
         }
@@ -177,7 +202,8 @@
             pool.socketClosed();
             Metrics.count(Metric.LOCAL_CONNECT_FAILURES, "connect");
             if (++localFailures > MAX_LOCAL_FAILURES) {
-                LOG.warning("no connection could be made to " + address + " for a reason of this machine: " + cause.getMessage());
+                LOG.warning("no connection could be made to " + address + " for a reason of this machine: "
+                        + cause.getMessage());
                 finish(End.NOT_SENT);
             } else {
                 timers.after(LOCAL_FAILURE_PAUSE, () -> mailbox.tellAlways(this::begin));
@@ -204,7 +230,7 @@
         }
 
         /** Its request has been handed to the connection. */
-        void sent() { }
+        void sent() {}
 
         /** Made when it is written: what it tells of the time that is left must hold then. */
         abstract ByteBuffer[] request();
@@ -227,12 +253,13 @@
                 close(connection);
                 connection = null;
             }
-            finish(switch (how) {
-                case NOT_WRITTEN -> End.NOT_CONNECTED;
-                case CLOSED -> End.BROKEN;
-                case UNREADABLE -> End.UNREADABLE;
-                case UNFINISHED_HEAD -> End.STALLED;
-            });
+            finish(
+                    switch (how) {
+                        case NOT_WRITTEN -> End.NOT_CONNECTED;
+                        case CLOSED -> End.BROKEN;
+                        case UNREADABLE -> End.UNREADABLE;
+                        case UNFINISHED_HEAD -> End.STALLED;
+                    });
         }
 
         /** Ends it from our side; closing the connection is what calls the backend's work off. */
@@ -379,11 +406,13 @@
             long at = stream.wakeAt();
             if (at != Stream.NEVER) {
                 timedFor = stream.state();
-                timer = timers.after(at - timers.now(), () -> tell(() -> {
-                    timer = null;
-                    stream.wake(timers.now());
-                    arm();
-                }));
+                timer = timers.after(
+                        at - timers.now(),
+                        () -> tell(() -> {
+                            timer = null;
+                            stream.wake(timers.now());
+                            arm();
+                        }));
             }
         }
 
@@ -401,10 +430,13 @@
             streaming = response.status() == 200 || objects;
             stream.head(timers.now(), streaming);
             if (streaming) {
-                translation = dialect == parcel.dialect() ? null : objects
-                        ? Translation.ofError(parcel.dialect(), response.status())
-                        : new Translation(dialect, parcel.dialect(), parcel.stream());
-                witness = translation != null || objects || !parcel.tally().counts() ? null
+                translation = dialect == parcel.dialect()
+                        ? null
+                        : objects
+                                ? Translation.ofError(parcel.dialect(), response.status())
+                                : new Translation(dialect, parcel.dialect(), parcel.stream());
+                witness = translation != null || objects || !parcel.tally().counts()
+                        ? null
                         : new Translation(dialect, dialect, parcel.stream());
                 arm();
             } else {
@@ -451,8 +483,10 @@
             try {
                 tail.add(bytes);
                 observe(bytes.duplicate());
-                deliver(translation != null ? translation.feed(bytes)
-                        : parcel.stream() && !objects ? opening.feed(bytes) : hold(bytes));
+                deliver(
+                        translation != null
+                                ? translation.feed(bytes)
+                                : parcel.stream() && !objects ? opening.feed(bytes) : hold(bytes));
             } catch (IOException e) {
                 stop(End.UNREADABLE);
             }
@@ -539,8 +573,11 @@
 
         @Override
         void sent() {
-            Invariant.NOT_SENT_TO_LEAVING_BACKEND.holds(!left && !draining, this::name, left ? "it had left" : "it drains");
-            Invariant.DEADLINE_TOLD_IN_TIME.holds(timers.now() - Math.min(until, sendBy) < Backends.MAX_HELD_UP, this::name,
+            Invariant.NOT_SENT_TO_LEAVING_BACKEND.holds(
+                    !left && !draining, this::name, left ? "it had left" : "it drains");
+            Invariant.DEADLINE_TOLD_IN_TIME.holds(
+                    timers.now() - Math.min(until, sendBy) < Backends.MAX_HELD_UP,
+                    this::name,
                     "written after its time");
         }
 
@@ -607,8 +644,12 @@
             arm();
             Translation read = translation != null ? translation : witness;
             if (streaming) {
-                parcel.tally().note(dialect, read == null ? 0 : read.skipped(), read == null ? 0 : read.tokens(),
-                        parcel.tally().counts() && tail.finished(dialect));
+                parcel.tally()
+                        .note(
+                                dialect,
+                                read == null ? 0 : read.skipped(),
+                                read == null ? 0 : read.tokens(),
+                                parcel.tally().counts() && tail.finished(dialect));
             }
             String load = head == null ? "" : tail.load().isEmpty() ? head.header("x-load") : tail.load();
             Ending ending = stream.ending();
@@ -641,8 +682,10 @@
 
         @Override
         ByteBuffer[] request() {
-            return new ByteBuffer[] {ByteBuffer.wrap(("GET /stats HTTP/1.1\r\nHost: " + host() + "\r\n\r\n")
-                    .getBytes(StandardCharsets.ISO_8859_1))};
+            return new ByteBuffer[] {
+                ByteBuffer.wrap(
+                        ("GET /stats HTTP/1.1\r\nHost: " + host() + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1))
+            };
         }
 
         @Override
--- a/node/src/main/java/fawnlb/backend/BackendPool.java
+++ b/node/src/main/java/fawnlb/backend/BackendPool.java
@@ -34,13 +34,14 @@
      *
      * @param connect how long a connect may take
      * @param idle after how long a backend closes a connection that carries no request
-     * @param rest how long a connection rests between two requests. A backend may send a second answer behind the first, some
-     *     milliseconds late: behind the next request it would be taken for that one's answer, while a resting connection closes
+     * @param rest how long a connection rests between two requests. A backend may send a second answer behind the
+     *     first, some milliseconds late: behind the next request it would be taken for that one's answer, while a
+     *     resting connection closes
      * @param probe how long a probe may take
      * @param sockets how many connections may be open
      * @param reportFields the fields of load reports, in their order
      */
-    public record Limits(long connect, long idle, long rest, long probe, int sockets, List<String> reportFields) { }
+    public record Limits(long connect, long idle, long rest, long probe, int sockets, List<String> reportFields) {}
 
     public BackendPool(XnioIoThread thread, Timers timers, Limits limits, Streams streams) {
         this.thread = thread;
@@ -61,7 +62,8 @@
             backend.leave();
         }
         if (phase != Phase.GONE && (backend == null || changed)) {
-            backend = new Backend(id, address, since, dialect, thread, timers, new Mailbox(thread, MAILBOX), limits, this, streams);
+            backend = new Backend(
+                    id, address, since, dialect, thread, timers, new Mailbox(thread, MAILBOX), limits, this, streams);
             backends.put(id, backend);
         }
         if (phase != Phase.GONE) {
@@ -85,7 +87,7 @@
         Backend backend = backends.get(id);
         if (backend == null || !((Parcel) ask.parcel()).speaks(backend.dialect())) {
             report.ended(Ending.of(End.NOT_SENT), 0, List.of());
-            return end -> { };
+            return end -> {};
         }
         return backend.attempt((Parcel) ask.parcel(), ask.promptTokens(), until, sendBy, again, report);
     }
@@ -109,8 +111,11 @@
     /** Whether one more connection may be opened; idle ones to other backends make room. */
     boolean socketFree() {
         if (sockets >= limits.sockets()) {
-            backends.values().stream().map(Backend::idle).filter(idle -> !idle.isEmpty())
-                    .min(Comparator.comparingLong(IdleConnections::eldestSince)).ifPresent(IdleConnections::closeEldest);
+            backends.values().stream()
+                    .map(Backend::idle)
+                    .filter(idle -> !idle.isEmpty())
+                    .min(Comparator.comparingLong(IdleConnections::eldestSince))
+                    .ifPresent(IdleConnections::closeEldest);
         }
         return sockets < limits.sockets();
     }
--- a/node/src/main/java/fawnlb/backend/IdleConnections.java
+++ b/node/src/main/java/fawnlb/backend/IdleConnections.java
@@ -8,8 +8,10 @@
 
 /** The connections to one backend that carry no request, the longest idle first. They belong to the backend's actor. */
 final class IdleConnections {
-    /** A connection is retired at this part of the time after which the backend itself may close it: a request written to one that
-     *  is just being closed would count as a reset. */
+    /**
+     * A connection is retired at this part of the time after which the backend itself may close it: a request written
+     * to one that is just being closed would count as a reset.
+     */
     private static final double RETIRE = 0.85;
 
     private final Deque<Idle> idle = new ArrayDeque<>();
@@ -18,7 +20,7 @@
     private final Timers timers;
     private final Runnable closed;
 
-    private record Idle(Connection connection, long since) { }
+    private record Idle(Connection connection, long since) {}
 
     /**
      * None so far.
@@ -63,7 +65,9 @@
 
     /** Closes those that have been idle for too long, or that have closed. */
     void retire() {
-        while (!idle.isEmpty() && (!idle.peek().connection().isOpen() || timers.now() - idle.peek().since() >= limit)) {
+        while (!idle.isEmpty()
+                && (!idle.peek().connection().isOpen()
+                        || timers.now() - idle.peek().since() >= limit)) {
             closeEldest();
         }
     }
--- a/node/src/main/java/fawnlb/backend/LoadReport.java
+++ b/node/src/main/java/fawnlb/backend/LoadReport.java
@@ -8,10 +8,21 @@
 /** A backend's load report, {@code TEXT inflight=7, queue=2, util=0.61}, in the order that the settings name. */
 final class LoadReport {
     /** The settings' names of the values, and the report's. */
-    private static final Map<String, String> NAMES = Map.of("active", "inflight", "waiting", "queue", "cpu", "util",
-            "avg_ms", "latency_ms", "rps", "qps", "err_rps", "eps");
+    private static final Map<String, String> NAMES = Map.of(
+            "active",
+            "inflight",
+            "waiting",
+            "queue",
+            "cpu",
+            "util",
+            "avg_ms",
+            "latency_ms",
+            "rps",
+            "qps",
+            "err_rps",
+            "eps");
 
-    private LoadReport() { }
+    private LoadReport() {}
 
     /** The values, 0 for one that is missing; nothing if the text is no report. */
     static List<Double> parse(String text, List<String> fields) {
--- a/node/src/main/java/fawnlb/backend/Parcel.java
+++ b/node/src/main/java/fawnlb/backend/Parcel.java
@@ -6,12 +6,20 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A request as it goes to a backend: path with query, id and body as the client sent them. {@code translated}:
- * the body in the other dialect, null where no backend speaks it. {@code idempotencyKey}: by which backends know a repeat, as the
- * client sent it, null if it sent none.
+ * A request as it goes to a backend: path with query, id and body as the client sent them. {@code translated}: the body
+ * in the other dialect, null where no backend speaks it. {@code idempotencyKey}: by which backends know a repeat, as
+ * the client sent it, null if it sent none.
  */
-public record Parcel(Dialect dialect, String path, String id, String idempotencyKey, boolean stream, byte[] body,
-                     byte[] translated, Tally tally) implements Ask.Parcel {
+public record Parcel(
+        Dialect dialect,
+        String path,
+        String id,
+        String idempotencyKey,
+        boolean stream,
+        byte[] body,
+        byte[] translated,
+        Tally tally)
+        implements Ask.Parcel {
     /** The header of a client for its backend: a node reads nothing in it, and must not lose it. */
     public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
@@ -76,15 +84,17 @@
     /**
      * Head and body; the body is not copied, since it stays for another attempt anyhow.
      *
-     * @param patience how long the client can wait from now on, in nanoseconds; to be asked for when the bytes are written, so
-     *     that a backend is never told of more than is left
+     * @param patience how long the client can wait from now on, in nanoseconds; to be asked for when the bytes are
+     *     written, so that a backend is never told of more than is left
      */
     ByteBuffer[] request(Dialect to, String host, long patience) {
         byte[] content = to == dialect ? body : translated;
         byte[] head = ("POST " + (to == dialect ? path : to.path()) + " HTTP/1.1\r\nHost: " + host
-                + "\r\nX-Request-Id: " + id + (idempotencyKey == null ? "" : "\r\n" + IDEMPOTENCY_KEY + ": " + idempotencyKey)
-                + "\r\nX-Deadline-Ms: " + patience / 1_000_000
-                + "\r\nContent-Type: application/json\r\nContent-Length: " + content.length + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1);
+                        + "\r\nX-Request-Id: " + id
+                        + (idempotencyKey == null ? "" : "\r\n" + IDEMPOTENCY_KEY + ": " + idempotencyKey)
+                        + "\r\nX-Deadline-Ms: " + patience / 1_000_000
+                        + "\r\nContent-Type: application/json\r\nContent-Length: " + content.length + "\r\n\r\n")
+                .getBytes(StandardCharsets.ISO_8859_1);
         return new ByteBuffer[] {ByteBuffer.wrap(head), ByteBuffer.wrap(content)};
     }
 }
--- a/node/src/main/java/fawnlb/backend/Tail.java
+++ b/node/src/main/java/fawnlb/backend/Tail.java
@@ -8,11 +8,13 @@
 
 /** The last bytes of a stream, where a backend tells what it had kept of the prompt and how loaded it is. */
 final class Tail {
-    private static final Pattern KEPT = Pattern.compile("\"(?:cached_tokens|cache_read_input_tokens)\"\\s*:\\s*(\\d{1,9})\\D");
+    private static final Pattern KEPT =
+            Pattern.compile("\"(?:cached_tokens|cache_read_input_tokens)\"\\s*:\\s*(\\d{1,9})\\D");
     private static final Pattern LOAD = Pattern.compile("(?mi)^: *X-Load:(.*)$");
 
     private static final Pattern DONE = Pattern.compile("(?m)^data: ?\\[DONE\\]\\s*$");
-    private static final Pattern STOP = Pattern.compile("(?m)^event: ?message_stop\\s*$|\"type\"\\s*:\\s*\"message_stop\"");
+    private static final Pattern STOP =
+            Pattern.compile("(?m)^event: ?message_stop\\s*$|\"type\"\\s*:\\s*\"message_stop\"");
 
     private final byte[] bytes = new byte[1024];
     private int size;
@@ -33,7 +35,7 @@
     /** Prompt tokens that the backend still held, 0 if it does not say. */
     long kept() {
         long kept = 0;
-        for (Matcher matcher = KEPT.matcher(text()); matcher.find();) {
+        for (Matcher matcher = KEPT.matcher(text()); matcher.find(); ) {
             kept = Long.parseLong(matcher.group(1));
         }
         return kept;
@@ -47,7 +49,7 @@
     /** The load report, empty if there is none. */
     String load() {
         String load = "";
-        for (Matcher matcher = LOAD.matcher(text()); matcher.find();) {
+        for (Matcher matcher = LOAD.matcher(text()); matcher.find(); ) {
             load = matcher.group(1).trim();
         }
         return load;
--- a/node/src/main/java/fawnlb/cli/LogWriter.java
+++ b/node/src/main/java/fawnlb/cli/LogWriter.java
@@ -10,8 +10,9 @@
 import java.util.logging.Logger;
 
 /**
- * Hands log lines to the handlers that were there before it on a thread of its own. Standard error may be a pipe that is
- * read too slowly or not at all: a write to it then never returns, and it must not be the I/O thread that waits for it.
+ * Hands log lines to the handlers that were there before it on a thread of its own. Standard error may be a pipe that
+ * is read too slowly or not at all: a write to it then never returns, and it must not be the I/O thread that waits for
+ * it.
  */
 final class LogWriter extends Handler {
     /** Lines that may wait; those beyond are counted and left out. */
@@ -79,9 +80,9 @@
     }
 
     @Override
-    public void flush() { }
+    public void flush() {}
 
     /** The end of the program closes handlers while its last flows are still served; lines go on until it is over. */
     @Override
-    public void close() { }
+    public void close() {}
 }
--- a/node/src/main/java/fawnlb/cli/Main.java
+++ b/node/src/main/java/fawnlb/cli/Main.java
@@ -31,11 +31,12 @@
     private static final int WRONG = 2;
     /** As a process that SIGTERM ends; supervisors know it. */
     private static final int TERMINATED = 128 + 15;
+
     private static final long LAST_LINES_MS = 200;
     /** One line a record, unless whoever starts the program wants another form. */
     private static final String LOG_FORMAT = "java.util.logging.SimpleFormatter.format";
 
-    private Main() { }
+    private Main() {}
 
     /** A sub-command. */
     private interface Command {
@@ -46,12 +47,16 @@
     private static class Configured {
         @Parameter(names = "--config", description = "the node's configuration (default: $PROXY_CONFIG)")
         private String config = System.getenv("PROXY_CONFIG");
+
         @Parameter(names = "--broker", description = "the teams' contracts; without it the messages front is off")
         private String broker;
+
         @Parameter(names = "--start", description = "how to start without discovery; without it nothing is remembered")
         private String start;
 
-        @Parameter(names = "--streams", description = "when streams are given up, and the admin listener; without it, the usual")
+        @Parameter(
+                names = "--streams",
+                description = "when streams are given up, and the admin listener; without it, the usual")
         private String streams;
 
         NodeConfig read() throws NodeConfig.Bad {
@@ -107,7 +112,8 @@
             if (!Signals.handle("HUP", () -> reload(node))) {
                 LOG.warning("SIGHUP is ignored by whoever started this process: the configuration can't be read again");
             }
-            // By a handler and not by a shutdown hook alone, at which the platform would close the log at once; before the node
+            // By a handler and not by a shutdown hook alone, at which the platform would close the log at once; before
+            // the node
             // lets clients in, for the signal may come between its first answer and its last step.
             Signals.handle("TERM", () -> end(node));
             node.start();
@@ -120,16 +126,19 @@
         @Override
         public void run() throws Exception {
             NodeConfig read = read();
-            System.out.println(read.name() + ": listens on " + read.listen() + ", " + read.settings().classes().size()
-                    + " class(es), " + (read.known() == null ? 0 : read.known().members().size()) + " known target(s)");
+            System.out.println(read.name() + ": listens on " + read.listen() + ", "
+                    + read.settings().classes().size() + " class(es), "
+                    + (read.known() == null ? 0 : read.known().members().size()) + " known target(s)");
             BrokerConfig teams = broker();
             if (teams != null) {
-                System.out.println("broker: listens on " + teams.listen() + ", " + teams.contracts().teams().size()
-                        + " team(s)");
+                System.out.println("broker: listens on " + teams.listen() + ", "
+                        + teams.contracts().teams().size() + " team(s)");
             }
             StartConfig begin = start(read.settings());
-            System.out.println("start: " + (begin.snapshot() == null ? "nothing is remembered"
-                    : "the list is remembered in " + begin.snapshot()));
+            System.out.println("start: "
+                    + (begin.snapshot() == null
+                            ? "nothing is remembered"
+                            : "the list is remembered in " + begin.snapshot()));
             StreamConfig streams = streams();
             System.out.println("streams: given up after " + streams.rules().pause() / 1_000_000 + " to "
                     + streams.rules().mostSilence() / 1_000_000 + " ms of silence; admin listener "
@@ -154,8 +163,10 @@
     private static final class Wire implements Command {
         @Override
         public void run() throws IOException {
-            new WireHost(new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
-                    new FileOutputStream(FileDescriptor.out)).run();
+            new WireHost(
+                            new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
+                            new FileOutputStream(FileDescriptor.out))
+                    .run();
         }
     }
 
@@ -181,8 +192,12 @@
 
     @Parameters(commandDescription = "Ask a running node for its targets and their streams")
     private static final class BackendsCommand implements Command {
-        @Parameter(names = "--admin", description = "the node's admin listener, as its --streams file has it", required = true)
+        @Parameter(
+                names = "--admin",
+                description = "the node's admin listener, as its --streams file has it",
+                required = true)
         private String admin;
+
         @Parameter(names = "--json", description = "as JSON")
         private boolean json;
 
@@ -206,17 +221,23 @@
 
     /** The sub-command that the words name, with its options read. */
     private static Command command(String... words) {
-        JCommander line = JCommander.newBuilder().programName("java -jar fawnlb.jar").addCommand("serve", new Serve())
-                .addCommand("check", new Check()).addCommand("snapshot", new Remembers())
+        JCommander line = JCommander.newBuilder()
+                .programName("java -jar fawnlb.jar")
+                .addCommand("serve", new Serve())
+                .addCommand("check", new Check())
+                .addCommand("snapshot", new Remembers())
                 .addCommand("targets", new BackendsCommand())
-                .addCommand("rehearse", new Rehearse()).addCommand("wirehost", new Wire())
-                .addCommand("version", new Version()).build();
+                .addCommand("rehearse", new Rehearse())
+                .addCommand("wirehost", new Wire())
+                .addCommand("version", new Version())
+                .build();
         line.parse(words);
         if (line.getParsedCommand() == null) {
             line.usage();
             System.exit(WRONG);
         }
-        return (Command) line.getCommands().get(line.getParsedCommand()).getObjects().get(0);
+        return (Command)
+                line.getCommands().get(line.getParsedCommand()).getObjects().get(0);
     }
 
     /**
@@ -224,8 +245,9 @@
      * classes and a tenth of a start. Both do without it where it can't be had; who wants it sets the properties.
      */
     private static void withoutManagementBeans() {
-        for (String[] pair : new String[][] {{"javax.management.builder.initial", "none"},
-            {"jboss.threads.eqe.register-mbean", "false"}}) {
+        for (String[] pair : new String[][] {
+            {"javax.management.builder.initial", "none"}, {"jboss.threads.eqe.register-mbean", "false"}
+        }) {
             if (System.getProperty(pair[0]) == null) {
                 System.setProperty(pair[0], pair[1]);
             }
--- a/node/src/main/java/fawnlb/cli/MembershipFeed.java
+++ b/node/src/main/java/fawnlb/cli/MembershipFeed.java
@@ -20,8 +20,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Hands on what discovery says: to the connections to backends, to the core, to the record on disk, and to the node's readiness.
- * It belongs to the I/O thread.
+ * Hands on what discovery says: to the connections to backends, to the core, to the record on disk, and to the node's
+ * readiness. It belongs to the I/O thread.
  */
 final class MembershipFeed implements Discovery.Subscriber {
     private final Settings settings;
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Readiness waits for discovery's first word or failure, since nobody would know where to send. A discovery with more callers
-     * than it can serve is waited for a little longer: what it could tell already holds for this node.
+     * Readiness waits for discovery's first word or failure, since nobody would know where to send. A discovery with
+     * more callers than it can serve is waited for a little longer: what it could tell already holds for this node.
      */
     private void tellReadiness(ListKind kind) {
         if (kind == ListKind.CROWDED) {
@@ -91,16 +91,25 @@
         }
         List<Balancer.Replica> replicas = new ArrayList<>();
         for (Member member : list.members()) {
-            backends.place(member.number(), new InetSocketAddress(member.host(), member.port()), member.upSinceMillis(),
-                    member.phase(), messageKinds.contains(member.kind()) ? Dialect.MESSAGES : Dialect.CHAT);
+            backends.place(
+                    member.number(),
+                    new InetSocketAddress(member.host(), member.port()),
+                    member.upSinceMillis(),
+                    member.phase(),
+                    messageKinds.contains(member.kind()) ? Dialect.MESSAGES : Dialect.CHAT);
             replicas.add(replica(member));
         }
         return new Balancer.Listed(kind, list.revision(), replicas);
     }
 
     private Balancer.Replica replica(Member member) {
-        return new Balancer.Replica(member.number(), member.phase(), startTimes.startedAt(member), member.size(),
-                Math.max(0, settings.names().zones().indexOf(member.zone())), member.cell(),
+        return new Balancer.Replica(
+                member.number(),
+                member.phase(),
+                startTimes.startedAt(member),
+                member.size(),
+                Math.max(0, settings.names().zones().indexOf(member.zone())),
+                member.cell(),
                 Math.max(0, settings.names().kinds().indexOf(member.kind())));
     }
 }
--- a/node/src/main/java/fawnlb/cli/Node.java
+++ b/node/src/main/java/fawnlb/cli/Node.java
@@ -59,7 +59,10 @@
     private static final Logger LOG = Logger.getLogger(Node.class.getName());
     private static final long SECOND = 1_000_000_000L;
     private static final long PROBE = SECOND / 2;
-    /** A second answer comes some milliseconds late, says the operators' page; ten times as long is still little to wait. */
+    /**
+     * A second answer comes some milliseconds late, says the operators' page; ten times as long is still little to
+     * wait.
+     */
     static final long REST = SECOND / 20;
     /** New connections keep coming for up to 0.4 s after SIGTERM. */
     private static final long STILL_ACCEPTED_MS = 600;
@@ -67,31 +70,37 @@
     private static final long TURN_MS = 20;
     /** How often a planned end says what it waits for. */
     private static final long STILL_SERVING = 5 * SECOND;
+
     private static final int MAILBOX = 8192;
     private static final int BUFFER = 8192;
     /**
-     * A client's head may be so long and have so many headers, and takes so long at most. One of 62 headers was measured to
-     * hold 22 KB of the heap while it is read, and 30 KB with 16 KiB; 635 clients, as many as 1,024 descriptors leave, can
-     * hold 14 MB with them at a time.
+     * A client's head may be so long and have so many headers, and takes so long at most. One of 62 headers was
+     * measured to hold 22 KB of the heap while it is read, and 30 KB with 16 KiB; 635 clients, as many as 1,024
+     * descriptors leave, can hold 14 MB with them at a time.
      */
     private static final int MAX_HEAD_BYTES = 8 * 1024;
+
     private static final int MAX_HEADERS = 64;
     private static final long HEAD = 2 * SECOND;
     /** A connection without a request may be closed after 2 s, and one that stays silent must be within 3 s. */
     private static final long IDLE = 2300 * SECOND / 1000;
+
     private static final int BACKLOG = 1000;
-    /** Bodies may hold so much, and a quarter of the heap at most: heads, streams and what stays for good need the rest. */
+    /**
+     * Bodies may hold so much, and a quarter of the heap at most: heads, streams and what stays for good need the rest.
+     */
     private static final long BODIES = Math.min(16L << 20, Runtime.getRuntime().maxMemory() / 4);
     /** Linux would hold megabytes for a client that does not read, and hide from the node that it does not. */
     private static final int SEND_BUFFER = 64 * 1024;
     /**
-     * Descriptors for all else: 22 of the process (jars, selectors, log), 6 of listeners, syslog and snapshot, 4 of the list
-     * and a configuration that is read again, 12 connections kept only to be refused, 4 of operators.
+     * Descriptors for all else: 22 of the process (jars, selectors, log), 6 of listeners, syslog and snapshot, 4 of the
+     * list and a configuration that is read again, 12 connections kept only to be refused, 4 of operators.
      */
     private static final int RESERVED = 48;
+
     private static final int OPERATORS = 4;
-    private static final Replies.Reply NO_ROOM = new Replies.Reply(StatusCodes.SERVICE_UNAVAILABLE, "text/plain",
-            "no room for more connections; try again later\n");
+    private static final Replies.Reply NO_ROOM = new Replies.Reply(
+            StatusCodes.SERVICE_UNAVAILABLE, "text/plain", "no room for more connections; try again later\n");
 
     private final NodeConfig config;
     private final BrokerConfig broker;
@@ -109,8 +118,10 @@
     private Flows flows;
     private Discovery discovery;
 
-    /** Broker: the second front's configuration, null if it is off. Start: what is remembered, and how it is believed.
-     *  Stream: when streams are given up. */
+    /**
+     * Broker: the second front's configuration, null if it is off. Start: what is remembered, and how it is believed.
+     * Stream: when streams are given up.
+     */
     Node(NodeConfig config, BrokerConfig broker, StartConfig start, StreamConfig stream) {
         this.config = config;
         this.broker = broker;
@@ -132,8 +143,14 @@
         MembershipFeed feed = new MembershipFeed(settings, messageKinds(), backends, timers);
         discovery = new Discovery(thread, timers, new Mailbox(thread, MAILBOX), config.discovery(), feed);
         // Where lists are pushed, it is to an agent on this machine, and the node has to ask that one.
-        flows = new Flows(settings.asked(), config.seed(), (s, seed, sink) -> new Views(views, Choice::new, s, seed, sink),
-                new Mailbox(thread, MAILBOX), timers, backends, discovery);
+        flows = new Flows(
+                settings.asked(),
+                config.seed(),
+                (s, seed, sink) -> new Views(views, Choice::new, s, seed, sink),
+                new Mailbox(thread, MAILBOX),
+                timers,
+                backends,
+                discovery);
         BodyReader bodies = new BodyReader(BODIES);
         OpenIds ids = new OpenIds();
         front = new PlatformFront(flows, bodies, ids, settings, !messageKinds().isEmpty());
@@ -153,8 +170,12 @@
         int each = connections.mostAccepted() / (broker == null ? 1 : 2);
         listen(config.listen(), front, each, timers);
         if (broker != null) {
-            listen(broker.listen(), new MessagesFront(flows, bodies, ids, config.settings(), broker.contracts(), timers,
-                    flowLog(thread, timers)), each, timers);
+            listen(
+                    broker.listen(),
+                    new MessagesFront(
+                            flows, bodies, ids, config.settings(), broker.contracts(), timers, flowLog(thread, timers)),
+                    each,
+                    timers);
         }
     }
 
@@ -176,31 +197,46 @@
     }
 
     private static XnioWorker createWorker() throws IOException {
-        return Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.THREAD_DAEMON, false).getMap());
+        return Xnio.getInstance()
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .set(Options.THREAD_DAEMON, false)
+                        .getMap());
     }
 
     private BackendPool createBackends(XnioIoThread thread, IoTimers timers, Streams streams) {
         Settings settings = config.settings();
-        return new BackendPool(thread, timers, new BackendPool.Limits(settings.connections().timeout(),
-                settings.connections().idle(), REST, PROBE, backendShare(config), settings.reportFields()), streams);
+        return new BackendPool(
+                thread,
+                timers,
+                new BackendPool.Limits(
+                        settings.connections().timeout(),
+                        settings.connections().idle(),
+                        REST,
+                        PROBE,
+                        backendShare(config),
+                        settings.reportFields()),
+                streams);
     }
 
     private void watch(XnioIoThread thread, IoTimers timers) {
         Watchdog watchdog = new Watchdog(thread, thread::getStackTrace, LOG::severe);
-        Thread looking = new Thread(() -> {
-            try {
-                while (thread.isAlive()) {
-                    watchdog.look(timers.now());
-                    TimeUnit.NANOSECONDS.sleep(Watchdog.PACE);
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            } catch (RejectedExecutionException e) {
-                LOG.fine("the I/O thread has ended");
-            }
-        }, "watchdog");
+        Thread looking = new Thread(
+                () -> {
+                    try {
+                        while (thread.isAlive()) {
+                            watchdog.look(timers.now());
+                            TimeUnit.NANOSECONDS.sleep(Watchdog.PACE);
+                        }
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    } catch (RejectedExecutionException e) {
+                        LOG.fine("the I/O thread has ended");
+                    }
+                },
+                "watchdog");
         looking.setDaemon(true);
         looking.start();
     }
@@ -210,8 +246,12 @@
         if (start.snapshot() == null) {
             return null;
         }
-        Recorder recorder = new Recorder(new Mailbox(thread, MAILBOX), new Mailbox(worker, 1), timers,
-                new SnapshotStore(start.snapshot()), start.pace());
+        Recorder recorder = new Recorder(
+                new Mailbox(thread, MAILBOX),
+                new Mailbox(worker, 1),
+                timers,
+                new SnapshotStore(start.snapshot()),
+                start.pace());
         if (remembered.snapshot() != null) {
             recorder.remembers(remembered.snapshot());
         }
@@ -239,24 +279,35 @@
     }
 
     /**
-     * Most: connections that are accepted here and still open. Those beyond wait in the kernel's queue until one has closed.
+     * Most: connections that are accepted here and still open. Those beyond wait in the kernel's queue until one has
+     * closed.
      */
     private void listen(InetSocketAddress address, HttpHandler handler, int most, Timers timers) throws IOException {
-        HttpOpenListener reader = new HttpOpenListener(new DefaultByteBufferPool(true, BUFFER, 256, 0), OptionMap.builder()
-                .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEAD_BYTES).set(UndertowOptions.MAX_HEADERS, MAX_HEADERS).getMap());
+        HttpOpenListener reader = new HttpOpenListener(
+                new DefaultByteBufferPool(true, BUFFER, 256, 0),
+                OptionMap.builder()
+                        .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEAD_BYTES)
+                        .set(UndertowOptions.MAX_HEADERS, MAX_HEADERS)
+                        .getMap());
         reader.setRootHandler(exchange -> {
             String fault = Heads.fault(exchange);
             if (fault != null) {
                 exchange.setPersistent(false);
-                ClientExchange.write(exchange, new Replies.Reply(StatusCodes.BAD_REQUEST, "text/plain", fault + "\n"), 0);
+                ClientExchange.write(
+                        exchange, new Replies.Reply(StatusCodes.BAD_REQUEST, "text/plain", fault + "\n"), 0);
             } else if (connections.serving(exchange)) {
                 handler.handleRequest(exchange);
             } else {
                 ClientExchange.write(exchange, NO_ROOM, SECOND);
             }
         });
-        Listener listener = retry.take(address.toString(), () -> new Listener(address, new Listener.Limits(most, BACKLOG, SEND_BUFFER),
-                timers, (connection, waited) -> connections.accept(connection, waited, reader)));
+        Listener listener = retry.take(
+                address.toString(),
+                () -> new Listener(
+                        address,
+                        new Listener.Limits(most, BACKLOG, SEND_BUFFER),
+                        timers,
+                        (connection, waited) -> connections.accept(connection, waited, reader)));
         listener.start(worker.getIoThread());
         listeners.add(listener);
     }
@@ -266,8 +317,12 @@
         if (syslog == null) {
             return new FlowLog(null, null);
         }
-        return new FlowLog(new SyslogRecord(syslog.facility(), config.listen().getHostString(), "fawnlb",
-                Long.toString(ProcessHandle.current().pid())),
+        return new FlowLog(
+                new SyslogRecord(
+                        syslog.facility(),
+                        config.listen().getHostString(),
+                        "fawnlb",
+                        Long.toString(ProcessHandle.current().pid())),
                 new SyslogSender(thread, timers, new Mailbox(thread, MAILBOX), syslog.collector(), syslog.tcp()));
     }
 
@@ -281,8 +336,8 @@
     }
 
     /**
-     * SIGTERM: takes what still comes for a moment, answers all that was taken, and ends. Whoever asks again waits for it. A
-     * start that is under way comes to its end before, for it may have let clients in.
+     * SIGTERM: takes what still comes for a moment, answers all that was taken, and ends. Whoever asks again waits for
+     * it. A start that is under way comes to its end before, for it may have let clients in.
      */
     void drain() {
         toldToEnd = true;
--- a/node/src/main/java/fawnlb/cli/Remembered.java
+++ b/node/src/main/java/fawnlb/cli/Remembered.java
@@ -43,13 +43,18 @@
         Snapshot snapshot = found.snapshot();
         Map<Long, Long> heard = new HashMap<>();
         List<Entry> recent = snapshot.entries().stream()
-                .filter(entry -> found.future() || now - entry.heardAt() * MS <= oldest).toList();
+                .filter(entry -> found.future() || now - entry.heardAt() * MS <= oldest)
+                .toList();
         if (!found.future()) {
             recent.forEach(entry -> heard.put(entry.member().number(), entry.heardAt() * MS));
         }
         LOG.info("remembered " + recent.size() + " of " + snapshot.entries().size() + " targets from " + found.from()
-                + (found.future() ? ", its age unknown" : ", written " + (now / MS - snapshot.savedAt()) / 1000 + " s ago"));
-        return new Remembered(new MemberList(0, true, recent.stream().map(Entry::member).toList()),
-                new Snapshot(snapshot.savedAt(), snapshot.revision(), recent), heard);
+                + (found.future()
+                        ? ", its age unknown"
+                        : ", written " + (now / MS - snapshot.savedAt()) / 1000 + " s ago"));
+        return new Remembered(
+                new MemberList(0, true, recent.stream().map(Entry::member).toList()),
+                new Snapshot(snapshot.savedAt(), snapshot.revision(), recent),
+                heard);
     }
 }
--- a/node/src/main/java/fawnlb/cli/Signals.java
+++ b/node/src/main/java/fawnlb/cli/Signals.java
@@ -8,26 +8,27 @@
  * reflection because the compiler warns of it in a way that can't be suppressed.
  */
 final class Signals {
-    private Signals() { }
+    private Signals() {}
 
     /**
      * Runs the task at each signal of this name, on a thread of its own.
      *
-     * @return false if whoever started the process has it ignore the signal, as nohup does with HUP: it never comes then
+     * @return false if whoever started the process has it ignore the signal, as nohup does with HUP: it never comes
+     *     then
      */
     static boolean handle(String name, Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object runs = Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handler},
-                    (proxy, method, arguments) -> {
+            Object runs = Proxy.newProxyInstance(
+                    Signals.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
                         if (method.getName().equals("handle")) {
                             task.run();
                         }
                         return null;
                     });
-            Object before = signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance(name), runs);
+            Object before = signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance(name), runs);
             return before != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             throw new IllegalStateException("SIG" + name + " cannot be handled here", e);
--- a/node/src/main/java/fawnlb/cli/StartRetry.java
+++ b/node/src/main/java/fawnlb/cli/StartRetry.java
@@ -7,13 +7,15 @@
 import java.util.logging.Logger;
 
 /**
- * Takes steps of a start again that fail for a cause which may pass: an address that a predecessor still has, no descriptor or no
- * memory for a socket. Readiness is waited for for 30 s, and a start that fails is worse than a late one.
+ * Takes steps of a start again that fail for a cause which may pass: an address that a predecessor still has, no
+ * descriptor or no memory for a socket. Readiness is waited for for 30 s, and a start that fails is worse than a late
+ * one.
  */
 final class StartRetry {
     private static final Logger LOG = Logger.getLogger(StartRetry.class.getName());
     /** A predecessor accepts for 0.6 s after SIGTERM and may have little of a core. */
     private static final long MAX_SECONDS = 10;
+
     private static final long MAX_NANOS = MAX_SECONDS * 1_000_000_000;
     private static final long PAUSE_MS = 20;
 
--- a/node/src/main/java/fawnlb/client/ClientExchange.java
+++ b/node/src/main/java/fawnlb/client/ClientExchange.java
@@ -32,6 +32,7 @@
 
     /** The ends of an event, as the last bytes that were passed on. */
     private static final int BLANK_LINE = 0x0a0a;
+
     private static final int BLANK_CRLF_LINE = 0x0d0a0d0a;
 
     private final HttpServerExchange exchange;
@@ -82,8 +83,8 @@
     }
 
     /**
-     * Which exchange a connection is serving. A connection keeps its close listeners for as long as it stays
-     * open: with one for each exchange it would keep every request that it ever carried.
+     * Which exchange a connection is serving. A connection keeps its close listeners for as long as it stays open: with
+     * one for each exchange it would keep every request that it ever carried.
      */
     private static final class Serving {
         private ClientExchange exchange;
@@ -101,8 +102,8 @@
     }
 
     /**
-     * Something threw that nobody expected. A client that has got nothing is told so; where its answer has begun, its connection
-     * ends, so that nothing looks finished.
+     * Something threw that nobody expected. A client that has got nothing is told so; where its answer has begun, its
+     * connection ends, so that nothing looks finished.
      */
     private void failUnexpectedly() {
         try {
@@ -114,7 +115,8 @@
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "a failure could not be answered", e);
         }
-        Invariant.ANSWERED_BEFORE_CLOSE.holds(done || exchange.isResponseStarted(), this::requestId, "it could not be answered");
+        Invariant.ANSWERED_BEFORE_CLOSE.holds(
+                done || exchange.isResponseStarted(), this::requestId, "it could not be answered");
         try {
             left();
         } finally {
@@ -123,12 +125,14 @@
     }
 
     private String requestId() {
-        return "request " + Objects.requireNonNullElse(exchange.getRequestHeaders().getFirst("X-Request-Id"), "without an id");
+        return "request "
+                + Objects.requireNonNullElse(exchange.getRequestHeaders().getFirst("X-Request-Id"), "without an id");
     }
 
     /** An answer for a request that is over: of no use where its client has left, and a fault where it had one. */
     private void tooLate(String what) {
-        Invariant.ONE_FINAL_ANSWER.holds(endedAs == Replies.End.GONE, this::requestId, what + " after it was " + endedAs);
+        Invariant.ONE_FINAL_ANSWER.holds(
+                endedAs == Replies.End.GONE, this::requestId, what + " after it was " + endedAs);
     }
 
     private void callOff() {
@@ -160,7 +164,10 @@
         return !done;
     }
 
-    /** Undertow does not read while a request is served. We do, to see the client leave, be it behind bytes of its next request. */
+    /**
+     * Undertow does not read while a request is served. We do, to see the client leave, be it behind bytes of its next
+     * request.
+     */
     private void readable() {
         if (done) {
             // What comes while the answer is still on its way out must not call us again and again.
@@ -255,8 +262,8 @@
     }
 
     /**
-     * A front's last words on a broken stream go out in one piece or not at all: a client that reads too slowly must not
-     * keep the connection, and behind half an event they would be taken for the rest of it.
+     * A front's last words on a broken stream go out in one piece or not at all: a client that reads too slowly must
+     * not keep the connection, and behind half an event they would be taken for the rest of it.
      */
     private void sayBroken(Ending ending) {
         String words = replies.broken(ending);
--- a/node/src/main/java/fawnlb/client/Connections.java
+++ b/node/src/main/java/fawnlb/client/Connections.java
@@ -24,13 +24,13 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * The client connections of a node from their accept on, and what each is doing. Beyond a limit those are closed that have
- * been idle for longest: a client that connects by hundreds and stays silent must not keep out those who ask. At a planned
- * end an idle one must be closed before the process ends: a request written to it a moment later would be lost with the
- * process, while one that meets a closed connection is sent again elsewhere.
+ * The client connections of a node from their accept on, and what each is doing. Beyond a limit those are closed that
+ * have been idle for longest: a client that connects by hundreds and stays silent must not keep out those who ask. At a
+ * planned end an idle one must be closed before the process ends: a request written to it a moment later would be lost
+ * with the process, while one that meets a closed connection is sent again elsewhere.
  *
- * <p>A connection on which a part of a request's head has come is not idle. It is closed to make room where no idle one is
- * left; apart from that the time limit for heads ends it, which begins with their first byte.
+ * <p>A connection on which a part of a request's head has come is not idle. It is closed to make room where no idle one
+ * is left; apart from that the time limit for heads ends it, which begins with their first byte.
  */
 public final class Connections {
     /** Connections over the limit, kept only to be told so. */
@@ -47,13 +47,25 @@
      * @param idle how long one may be idle
      * @param head how long the head of a request may take from its first byte
      */
-    public record Limits(int open, long idle, long head) { }
+    public record Limits(int open, long idle, long head) {}
 
     /** CLOSING: its last answer is out; what its client still sends is read and dropped. */
-    private enum Phase { IDLE, READING_HEAD, SERVING, CLOSING }
+    private enum Phase {
+        IDLE,
+        READING_HEAD,
+        SERVING,
+        CLOSING
+    }
 
     /** Why the node closes a connection of its own accord. */
-    private enum CloseReason { IDLE_LIMIT, HEAD_LIMIT, CLOSING_LIMIT, NO_ROOM, NO_ROOM_UNREAD, PLANNED_END }
+    private enum CloseReason {
+        IDLE_LIMIT,
+        HEAD_LIMIT,
+        CLOSING_LIMIT,
+        NO_ROOM,
+        NO_ROOM_UNREAD,
+        PLANNED_END
+    }
 
     /** What a connection has been doing, and since when, in nanoseconds. */
     private record Activity(Phase phase, long since) {
@@ -66,6 +78,7 @@
     private final Map<StreamConnection, Activity> open = new LinkedHashMap<>();
     /** Since when the first request of a connection may have waited in the kernel's queue. */
     private final Map<StreamConnection, Long> queuedSince = new HashMap<>();
+
     private final Limits limits;
     private final Timers timers;
     private volatile boolean draining;
@@ -78,12 +91,15 @@
     }
 
     /**
-     * Closes those that have been idle, reading a head, or closing, for too long. Undertow's own timers would close upon a request
-     * that lies unread on a busy processor, and count by the wall clock.
+     * Closes those that have been idle, reading a head, or closing, for too long. Undertow's own timers would close
+     * upon a request that lies unread on a busy processor, and count by the wall clock.
      */
     private void retire() {
-        long next = Math.min(retire(Phase.READING_HEAD, limits.head(), CloseReason.HEAD_LIMIT), Math.min(
-                retire(Phase.IDLE, limits.idle(), CloseReason.IDLE_LIMIT), retire(Phase.CLOSING, limits.idle(), CloseReason.CLOSING_LIMIT)));
+        long next = Math.min(
+                retire(Phase.READING_HEAD, limits.head(), CloseReason.HEAD_LIMIT),
+                Math.min(
+                        retire(Phase.IDLE, limits.idle(), CloseReason.IDLE_LIMIT),
+                        retire(Phase.CLOSING, limits.idle(), CloseReason.CLOSING_LIMIT)));
         timers.after(Math.max(MIN_PAUSE, Math.min(MAX_PAUSE, next)), this::retire);
     }
 
@@ -98,9 +114,7 @@
         return eldest == null ? limit : activity(eldest).since() + limit - now;
     }
 
-    /**
-     * So many may be accepted at a time, those over the limit included.
-     */
+    /** So many may be accepted at a time, those over the limit included. */
     public int mostAccepted() {
         return limits.open() + SPARE;
     }
@@ -133,7 +147,9 @@
         }
     }
 
-    /** Tells of each read, and of each that brings bytes, whoever reads: Undertow does not say that a head has begun. */
+    /**
+     * Tells of each read, and of each that brings bytes, whoever reads: Undertow does not say that a head has begun.
+     */
     private static final class HeadWatch extends AbstractStreamSourceConduit<StreamSourceConduit> {
         private final Runnable reading;
         private final Runnable bytesRead;
@@ -174,8 +190,8 @@
     }
 
     /**
-     * Told of each request at its start; false if there is no room for its connection, and it must be refused.
-     * A connection left waiting to be accepted would be worse: its request counts as taken and gets no answer.
+     * Told of each request at its start; false if there is no room for its connection, and it must be refused. A
+     * connection left waiting to be accepted would be worse: its request counts as taken and gets no answer.
      */
     public boolean serving(HttpServerExchange exchange) {
         StreamConnection connection = ((HttpServerConnection) exchange.getConnection()).getChannel();
@@ -216,9 +232,9 @@
     }
 
     /**
-     * Lets the I/O thread look at all sockets before it goes on with this connection, whose client takes what it got. Undertow
-     * would queue the next request as a task, and XNIO looks at no socket and no timer while tasks are left: 600 requests
-     * sent at once kept lists and streams waiting for over a second.
+     * Lets the I/O thread look at all sockets before it goes on with this connection, whose client takes what it got.
+     * Undertow would queue the next request as a task, and XNIO looks at no socket and no timer while tasks are left:
+     * 600 requests sent at once kept lists and streams waiting for over a second.
      */
     private static void afterOthers(StreamConnection connection, Runnable next) {
         ConduitStreamSinkChannel sink = connection.getSinkChannel();
@@ -237,8 +253,8 @@
     }
 
     /**
-     * Closes one on which no request has come, idle ones first. False if there is none, or if this is just being done: a
-     * request that was found by it needs no second look.
+     * Closes one on which no request has come, idle ones first. False if there is none, or if this is just being done:
+     * a request that was found by it needs no second look.
      */
     private boolean closeOneWithoutRequest() {
         if (looking) {
@@ -279,8 +295,8 @@
     }
 
     /**
-     * Closes a connection without a request, unless more of one has come and was not read yet: on a busy processor it can lie
-     * there for half a second, and the client that wrote it is owed an answer. False if it has.
+     * Closes a connection without a request, unless more of one has come and was not read yet: on a busy processor it
+     * can lie there for half a second, and the client that wrote it is owed an answer. False if it has.
      */
     private boolean closeUnlessAsked(StreamConnection connection, CloseReason reason) {
         Activity before = activity(connection);
@@ -293,7 +309,8 @@
             return false;
         }
         Activity last = activity(connection);
-        Invariant.ANSWERED_BEFORE_CLOSE.holds(last == null || !last.is(Phase.SERVING), connection::toString, "closed for " + reason);
+        Invariant.ANSWERED_BEFORE_CLOSE.holds(
+                last == null || !last.is(Phase.SERVING), connection::toString, "closed for " + reason);
         closed(connection);
         Metrics.count(Metric.CLIENT_CONNECTIONS_CLOSED, reason);
         IoUtils.safeClose(connection);
@@ -312,7 +329,10 @@
         draining = true;
     }
 
-    /** Closes those that are idle or closing; how many are left, reading a head or serving. To be called on the thread that reads them. */
+    /**
+     * Closes those that are idle or closing; how many are left, reading a head or serving. To be called on the thread
+     * that reads them.
+     */
     public int closeIdle() {
         List<StreamConnection> all;
         synchronized (this) {
--- a/node/src/main/java/fawnlb/client/Keys.java
+++ b/node/src/main/java/fawnlb/client/Keys.java
@@ -2,7 +2,7 @@
 
 /** Keys of conversations and of their shared beginnings, alike at every node. */
 public final class Keys {
-    private Keys() { }
+    private Keys() {}
 
     /** Up to 16 hexadecimal digits are the key itself; any other text is hashed; 0 is no key. */
     public static long of(String text) {
--- a/node/src/main/java/fawnlb/client/LingeringClose.java
+++ b/node/src/main/java/fawnlb/client/LingeringClose.java
@@ -12,18 +12,21 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Closes the connection of a request that was answered before all of it had come. The node stops sending, reads and drops the
- * rest until the client closes or a time limit is reached, and closes then. Undertow would close at the first byte of the rest:
- * a close over unread bytes resets the connection, and the answer may be lost with it.
+ * Closes the connection of a request that was answered before all of it had come. The node stops sending, reads and
+ * drops the rest until the client closes or a time limit is reached, and closes then. Undertow would close at the first
+ * byte of the rest: a close over unread bytes resets the connection, and the answer may be lost with it.
  *
  * <p>All of it runs on the connection's I/O thread.
  */
 final class LingeringClose {
     /** How long the rest is read, in nanoseconds; as long as a whole body may take. */
     private static final long MAX_LINGER = 2_000_000_000;
+
     private static final int READ_SIZE = 16 * 1024;
     /** What is read is dropped, so one buffer does for all. */
-    private static final ThreadLocal<ByteBuffer> DROPPED = ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(READ_SIZE));
+    private static final ThreadLocal<ByteBuffer> DROPPED =
+            ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(READ_SIZE));
+
     private static final AttachmentKey<Boolean> REQUEST_INCOMPLETE = AttachmentKey.create(Boolean.class);
 
     private final HttpServerConnection connection;
--- a/node/src/main/java/fawnlb/client/Listener.java
+++ b/node/src/main/java/fawnlb/client/Listener.java
@@ -19,9 +19,9 @@
 /**
  * Accepts clients on one address, on the I/O thread itself.
  *
- * <p>An accept can fail for a while (no descriptor, no memory for a socket, a connection reset while it waited). The listener then
- * tries again every {@link #PAUSE}, neither at once, which would keep the thread busy for as long as the cause lasts, nor after a
- * growing pause, through which clients would wait behind a cause that is gone.
+ * <p>An accept can fail for a while (no descriptor, no memory for a socket, a connection reset while it waited). The
+ * listener then tries again every {@link #PAUSE}, neither at once, which would keep the thread busy for as long as the
+ * cause lasts, nor after a growing pause, through which clients would wait behind a cause that is gone.
  */
 public final class Listener implements Closeable {
     /** How long the listener waits after a failed accept, in nanoseconds. */
@@ -30,8 +30,12 @@
     static final int MAX_PER_TURN = 32;
     /** A failing accept is logged once in so many nanoseconds. */
     private static final long LOG_PAUSE = 10_000_000_000L;
-    /** A planned end waits so long for an accept that keeps failing, in nanoseconds; then the socket closes over who waits. */
+    /**
+     * A planned end waits so long for an accept that keeps failing, in nanoseconds; then the socket closes over who
+     * waits.
+     */
     private static final long MAX_CLOSING = 2_000_000_000L;
+
     private static final long NOT_BLOCKED = Long.MIN_VALUE;
     private static final Logger LOG = Logger.getLogger(Listener.class.getName());
 
@@ -48,8 +52,11 @@
         void take(StreamConnection connection, long waited);
     }
 
-    /** Limits of one listener; {@code maxOpen}: connections that are accepted here and still open; {@code sendBuffer}: in bytes. */
-    public record Limits(int maxOpen, int backlog, int sendBuffer) { }
+    /**
+     * Limits of one listener; {@code maxOpen}: connections that are accepted here and still open; {@code sendBuffer}:
+     * in bytes.
+     */
+    public record Limits(int maxOpen, int backlog, int sendBuffer) {}
 
     private final ServerSocketChannel channel;
     private final Acceptor acceptor;
@@ -63,6 +70,7 @@
     private boolean full;
     /** Since when somebody may wait in the kernel's queue, since nobody could be accepted. */
     private long blockedSince = NOT_BLOCKED;
+
     private boolean closing;
 
     /** A listener that is bound and accepts nobody yet; each connection goes to the taker, on the I/O thread. */
@@ -95,8 +103,8 @@
     /** Accepts from here on; to be called once, on any thread. */
     public void start(XnioIoThread thread) throws IOException {
         // What it throws would end the thread that carries all connections.
-        socket = ListeningSocket.register(thread, channel,
-                () -> Guard.run(this::acceptWaiting, "a connection could not be taken", () -> { }));
+        socket = ListeningSocket.register(
+                thread, channel, () -> Guard.run(this::acceptWaiting, "a connection could not be taken", () -> {}));
         socket.resumeAccepts();
     }
 
@@ -126,8 +134,15 @@
         }
     }
 
-    /** How a run of accepts ended: nobody waits, there may be more, no room for another connection, or an accept failed. */
-    private enum Result { NOBODY_WAITS, MORE, FULL, FAILED }
+    /**
+     * How a run of accepts ended: nobody waits, there may be more, no room for another connection, or an accept failed.
+     */
+    private enum Result {
+        NOBODY_WAITS,
+        MORE,
+        FULL,
+        FAILED
+    }
 
     private Result accept(int max) {
         Result result = acceptUpTo(max);
@@ -173,7 +188,8 @@
             return;
         }
         open++;
-        taker.take(connection, Math.max(timers.eventAge(), blockedSince == NOT_BLOCKED ? 0 : timers.now() - blockedSince));
+        taker.take(
+                connection, Math.max(timers.eventAge(), blockedSince == NOT_BLOCKED ? 0 : timers.now() - blockedSince));
     }
 
     private void connectionClosed() {
@@ -189,15 +205,16 @@
         Metrics.count(Metric.ACCEPT_FAILURES, "accept");
         long now = timers.now();
         if (now - loggedAt >= LOG_PAUSE) {
-            LOG.warning("accept on " + address() + " failed, " + failures + " times since the last such line: " + e.getMessage());
+            LOG.warning("accept on " + address() + " failed, " + failures + " times since the last such line: "
+                    + e.getMessage());
             loggedAt = now;
             failures = 0;
         }
     }
 
     /**
-     * Accepts whoever has connected by then, and closes the socket in the same turn of the I/O thread, so that nobody who waits
-     * in the kernel's queue is reset. To be called on the I/O thread.
+     * Accepts whoever has connected by then, and closes the socket in the same turn of the I/O thread, so that nobody
+     * who waits in the kernel's queue is reset. To be called on the I/O thread.
      *
      * @param closed runs on the I/O thread when the socket is closed
      */
--- a/node/src/main/java/fawnlb/client/Listeners.java
+++ b/node/src/main/java/fawnlb/client/Listeners.java
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Accepts whoever has connected and then nobody any more; returns when all sockets are closed and who was accepted has been
-     * handed on.
+     * Accepts whoever has connected and then nobody any more; returns when all sockets are closed and who was accepted
+     * has been handed on.
      *
      * @param thread runs tasks on the I/O thread
      */
--- a/node/src/main/java/fawnlb/client/OpenIds.java
+++ b/node/src/main/java/fawnlb/client/OpenIds.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The ids of the requests that are open at either front. Every request carries a new one; a second under the id
- * of an open one, from whomever, would be a second copy of it at the backends.
+ * The ids of the requests that are open at either front. Every request carries a new one; a second under the id of an
+ * open one, from whomever, would be a second copy of it at the backends.
  */
 public final class OpenIds {
     private final Set<String> ids = ConcurrentHashMap.newKeySet();
--- a/node/src/main/java/fawnlb/client/RetryAfter.java
+++ b/node/src/main/java/fawnlb/client/RetryAfter.java
@@ -4,7 +4,7 @@
 
 /** The value of a {@code Retry-After} header: seconds, as short as they can be written. */
 public final class RetryAfter {
-    private RetryAfter() { }
+    private RetryAfter() {}
 
     public static String seconds(long nanos) {
         long millis = Math.max(1, nanos / 1_000_000);
--- a/node/src/main/java/fawnlb/config/BrokerConfig.java
+++ b/node/src/main/java/fawnlb/config/BrokerConfig.java
@@ -16,7 +16,7 @@
     private static final long DAY_MS = 86_400_000;
 
     /** Where flow records go; null in the configuration if nowhere. */
-    public record Syslog(InetSocketAddress collector, boolean tcp, int facility) { }
+    public record Syslog(InetSocketAddress collector, boolean tcp, int facility) {}
 
     public static BrokerConfig read(Path file) throws NodeConfig.Bad {
         OperatorFile in = new OperatorFile(file);
@@ -32,19 +32,29 @@
         if (teams.isEmpty()) {
             throw in.bad("teams", "names no team");
         }
-        return new BrokerConfig(NodeConfig.address("listen", in.value("listen")), Set.copyOf(in.list("message-kinds")),
-                new Contracts(List.copyOf(teams)), syslog(in));
+        return new BrokerConfig(
+                NodeConfig.address("listen", in.value("listen")),
+                Set.copyOf(in.list("message-kinds")),
+                new Contracts(List.copyOf(teams)),
+                syslog(in));
     }
 
     private static Contract team(OperatorFile in, String at) throws NodeConfig.Bad {
-        Budget budget = new Budget(in.number(at + "budget.requests", -1, 0, Integer.MAX_VALUE),
+        Budget budget = new Budget(
+                in.number(at + "budget.requests", -1, 0, Integer.MAX_VALUE),
                 in.number(at + "budget.tokens", -1, 0, Long.MAX_VALUE),
                 in.number(at + "budget.window-ms", -1, 0, DAY_MS) * MS);
         String tenant = in.value(at + "tenant");
         in.text(at + "classes");
         in.text(at + "models");
-        return new Contract(in.text(at + "name"), in.text(at + "key"), tenant == null ? "" : tenant,
-                in.list(at + "classes"), in.list(at + "models"), in.number(at + "deadline-ms", -1, 0, DAY_MS) * MS, budget);
+        return new Contract(
+                in.text(at + "name"),
+                in.text(at + "key"),
+                tenant == null ? "" : tenant,
+                in.list(at + "classes"),
+                in.list(at + "models"),
+                in.number(at + "deadline-ms", -1, 0, DAY_MS) * MS,
+                budget);
     }
 
     private static Syslog syslog(OperatorFile in) throws NodeConfig.Bad {
@@ -56,7 +66,7 @@
         if (transport != null && !transport.equals("udp") && !transport.equals("tcp")) {
             throw in.bad("syslog.transport", "expected udp or tcp, found '" + transport + "'");
         }
-        return new Syslog(NodeConfig.address("syslog.collector", collector), "tcp".equals(transport),
-                (int) in.number("syslog.facility", 16, 0, 23));
+        return new Syslog(NodeConfig.address("syslog.collector", collector), "tcp".equals(transport), (int)
+                in.number("syslog.facility", 16, 0, 23));
     }
 }
