--- a/node/src/main/java/fawnlb/config/Flattener.java
+++ b/node/src/main/java/fawnlb/config/Flattener.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 
 /**
- * Flattens nested JSON settings to the paths of the simulator's pairs: a list of plain values is joined with
- * commas; a list of objects puts its length under {@code .count} and its items under {@code .0}, {@code .1}.
+ * Flattens nested JSON settings to the paths of the simulator's pairs: a list of plain values is joined with commas; a
+ * list of objects puts its length under {@code .count} and its items under {@code .0}, {@code .1}.
  */
 final class Flattener {
-    private Flattener() { }
+    private Flattener() {}
 
     /** Flattens the value that the parser stands at. */
     static void flatten(JsonParser in, String path, Map<String, String> out) throws IOException {
@@ -25,7 +25,7 @@
                 }
             }
             case START_ARRAY -> array(in, path, out);
-            case VALUE_NULL -> { }
+            case VALUE_NULL -> {}
             default -> out.put(path, plain(in));
         }
     }
--- a/node/src/main/java/fawnlb/config/NodeConfig.java
+++ b/node/src/main/java/fawnlb/config/NodeConfig.java
@@ -15,8 +15,15 @@
 import java.util.Map;
 
 /** What a node is told at its start. {@code known}: the list as it last had it, null if it never had one. */
-public record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-                         MemberList known, Settings settings, List<String> complaints) {
+public record NodeConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        MemberList known,
+        Settings settings,
+        List<String> complaints) {
     /** Below this nothing is left for clients beside a third for backends and what the process itself needs. */
     private static final int MIN_SOCKETS = 96;
 
@@ -29,8 +36,14 @@
         }
 
         static Bad unreadable(Path file, IOException why) {
-            return new Bad(why instanceof NoSuchFileException ? file + ": no such file"
-                    : file + ": " + String.valueOf(why.getMessage()).lines().findFirst().orElse("unreadable"));
+            return new Bad(
+                    why instanceof NoSuchFileException
+                            ? file + ": no such file"
+                            : file + ": "
+                                    + String.valueOf(why.getMessage())
+                                            .lines()
+                                            .findFirst()
+                                            .orElse("unreadable"));
         }
     }
 
@@ -61,11 +74,15 @@
         if (settings.classes().isEmpty()) {
             throw new Bad(file + ": settings name no request class");
         }
-        return new NodeConfig(environment.getOrDefault("PROXY_NAME", pairs.getOrDefault("node.name", "node")),
+        return new NodeConfig(
+                environment.getOrDefault("PROXY_NAME", pairs.getOrDefault("node.name", "node")),
                 address("listen", environment.getOrDefault("PROXY_LISTEN", pairs.get("node.listen"))),
                 address("discovery", environment.getOrDefault("PROXY_DISCOVERY", pairs.get("node.discovery"))),
-                seed(pairs.getOrDefault("node.seed", "0")), sockets(pairs.getOrDefault("node.limits.sockets", "1024")),
-                known, settings, parser.complaints());
+                seed(pairs.getOrDefault("node.seed", "0")),
+                sockets(pairs.getOrDefault("node.limits.sockets", "1024")),
+                known,
+                settings,
+                parser.complaints());
     }
 
     /** An address in the form {@code host:port}. */
@@ -73,14 +90,16 @@
         int colon = text == null ? -1 : text.lastIndexOf(':');
         try {
             int port = colon <= 0 ? -1 : Integer.parseInt(text.substring(colon + 1));
-            InetSocketAddress address = port >= 0 && port <= 0xffff ? new InetSocketAddress(text.substring(0, colon), port) : null;
+            InetSocketAddress address =
+                    port >= 0 && port <= 0xffff ? new InetSocketAddress(text.substring(0, colon), port) : null;
             if (address != null && !address.isUnresolved()) {
                 return address;
             }
         } catch (NumberFormatException e) {
             // Told below, like a missing one.
         }
-        throw new Bad(what + ": expected host:port of a host that can be found, found " + (text == null ? "nothing" : "'" + text + "'"));
+        throw new Bad(what + ": expected host:port of a host that can be found, found "
+                + (text == null ? "nothing" : "'" + text + "'"));
     }
 
     private static long seed(String text) throws Bad {
--- a/node/src/main/java/fawnlb/config/OperatorFile.java
+++ b/node/src/main/java/fawnlb/config/OperatorFile.java
@@ -64,8 +64,10 @@
         } catch (NumberFormatException e) {
             // Told below, like one out of range.
         }
-        throw bad(path, "expected a whole number from " + least + " to " + most + ", found "
-                + (text == null ? "nothing" : "'" + text + "'"));
+        throw bad(
+                path,
+                "expected a whole number from " + least + " to " + most + ", found "
+                        + (text == null ? "nothing" : "'" + text + "'"));
     }
 
     boolean truth(String path, boolean missing) throws NodeConfig.Bad {
--- a/node/src/main/java/fawnlb/config/SettingsParser.java
+++ b/node/src/main/java/fawnlb/config/SettingsParser.java
@@ -19,9 +19,9 @@
 import java.util.function.Function;
 
 /**
- * Reads the start settings, {@code path=value} lines. Unknown paths are skipped. Missing or unreadable ones
- * get the careful default given here: nothing is allowed that was not said, a class is unsafe, drains
- * count at once, and a cold replica has a tenth of its capacity for half a minute.
+ * Reads the start settings, {@code path=value} lines. Unknown paths are skipped. Missing or unreadable ones get the
+ * careful default given here: nothing is allowed that was not said, a class is unsafe, drains count at once, and a cold
+ * replica has a tenth of its capacity for half a minute.
  */
 public final class SettingsParser {
     private static final long SECOND = 1_000_000_000L;
@@ -56,33 +56,58 @@
         for (int i = 0; i < count; i++) {
             String at = "profiles." + i + ".";
             long deadline = time(at + "deadline-ns", SECOND);
-            classes.add(new RequestClass(word(at + "effect", Effect.UNSAFE), word(at + "group", Group.CELL),
-                    time(at + "window-ns", 0), time(at + "on-time-ns", deadline),
-                    i < perThousand.size() ? perThousand.get(i) : 0, deadline,
-                    i < tokenAims.size() ? tokenAims.get(i).longValue() : 0, real(at + "credit", 1),
-                    real(at + "late-worth", 0), truth(at + "stream")));
+            classes.add(new RequestClass(
+                    word(at + "effect", Effect.UNSAFE),
+                    word(at + "group", Group.CELL),
+                    time(at + "window-ns", 0),
+                    time(at + "on-time-ns", deadline),
+                    i < perThousand.size() ? perThousand.get(i) : 0,
+                    deadline,
+                    i < tokenAims.size() ? tokenAims.get(i).longValue() : 0,
+                    real(at + "credit", 1),
+                    real(at + "late-worth", 0),
+                    truth(at + "stream")));
         }
         List<Tenant> tenants = new ArrayList<>();
         int orgs = Math.min(MAX_ITEMS, whole("orgs.count", 0));
         for (int i = 0; i < orgs; i++) {
             tenants.add(new Tenant(real("orgs." + i + ".fraction", 0), real("orgs." + i + ".quota-per-s", 0)));
         }
-        Limits limits = new Limits(whole("limits.most-tries", 1), whole("limits.most-held", MAX_ITEMS),
-                truth("limits.second-copies"), truth("limits.may-cancel"), truth("limits.probing"),
-                truth("limits.peers"), truth("limits.retry-after") ? time("limits.max-retry-after-ns", 0) : 0);
-        Rules rules = new Rules(time("rules.drain-grace-ns", 0), time("rules.ask-within-ns", 10 * SECOND),
-                real("rules.cold-from", 0.1), time("rules.cold-ns", 30 * SECOND), real("rules.tip-multiple", 1),
+        Limits limits = new Limits(
+                whole("limits.most-tries", 1),
+                whole("limits.most-held", MAX_ITEMS),
+                truth("limits.second-copies"),
+                truth("limits.may-cancel"),
+                truth("limits.probing"),
+                truth("limits.peers"),
+                truth("limits.retry-after") ? time("limits.max-retry-after-ns", 0) : 0);
+        Rules rules = new Rules(
+                time("rules.drain-grace-ns", 0),
+                time("rules.ask-within-ns", 10 * SECOND),
+                real("rules.cold-from", 0.1),
+                time("rules.cold-ns", 30 * SECOND),
+                real("rules.tip-multiple", 1),
                 time("rules.fall-ns", SECOND));
         Discovery discovery = "subscribe".equals(values.get("registry-mode")) ? Discovery.ASKED : Discovery.PUSHED;
         Reports reports = word("report.how", Reports.NONE);
         String fields = values.getOrDefault("report.fields", "");
-        return new Settings(whole("my-number", 0), Math.max(1, whole("replicas-of-me", 1)), whole("az", 0),
-                time("tick-ns", 1_000_000), truth("family-info.resume"), discovery, reports,
-                fields.isEmpty() ? List.of() : List.of(fields.split(",")), List.copyOf(classes),
-                List.copyOf(tenants), limits, rules,
+        return new Settings(
+                whole("my-number", 0),
+                Math.max(1, whole("replicas-of-me", 1)),
+                whole("az", 0),
+                time("tick-ns", 1_000_000),
+                truth("family-info.resume"),
+                discovery,
+                reports,
+                fields.isEmpty() ? List.of() : List.of(fields.split(",")),
+                List.copyOf(classes),
+                List.copyOf(tenants),
+                limits,
+                rules,
                 new Costs(real("costs.cross-zone", 0), real("costs.waste", 0)),
                 new Names(named("profiles.", count), named("orgs.", orgs), list("localities"), list("host-types")),
-                new Connections(time("limits.connect-timeout-ns", SECOND / 4), time("limits.conn-idle-ns", 15 * SECOND)));
+                new Connections(
+                        time("limits.connect-timeout-ns", SECOND / 4), time("limits.conn-idle-ns", 15 * SECOND)));
     }
 
     private List<String> named(String path, int count) {
--- a/node/src/main/java/fawnlb/config/StreamConfig.java
+++ b/node/src/main/java/fawnlb/config/StreamConfig.java
@@ -22,7 +22,8 @@
     public static StreamConfig read(Path file) throws NodeConfig.Bad {
         OperatorFile in = new OperatorFile(file);
         Rules usual = Rules.standard();
-        Rules rules = new Rules(in.truth("silence.learned", usual.learned()),
+        Rules rules = new Rules(
+                in.truth("silence.learned", usual.learned()),
                 in.number("silence.suspicion", (long) usual.suspicion(), 2, 30),
                 in.number("silence.pause-ms", usual.pause() / MS, 0, MAX_SILENCE_MS) * MS,
                 in.number("silence.most-ms", usual.mostSilence() / MS, 10, MAX_SILENCE_MS) * MS,
--- a/node/src/main/java/fawnlb/contract/Contract.java
+++ b/node/src/main/java/fawnlb/contract/Contract.java
@@ -3,8 +3,14 @@
 import java.util.List;
 
 /** What a team may ask for. {@code deadline}: nanoseconds that an answer may take to begin. */
-public record Contract(String team, String key, String tenant, List<String> classes, List<String> models,
-                       long deadline, Budget budget) {
+public record Contract(
+        String team,
+        String key,
+        String tenant,
+        List<String> classes,
+        List<String> models,
+        long deadline,
+        Budget budget) {
 
     /** Why a request is outside the contract, or null if it is inside. */
     public String objection(String requestClass, String model) {
--- a/node/src/main/java/fawnlb/dialect/Dialect.java
+++ b/node/src/main/java/fawnlb/dialect/Dialect.java
@@ -2,7 +2,8 @@
 
 /** The two interfaces that clients and backends speak. */
 public enum Dialect {
-    CHAT("/v1/chat/completions"), MESSAGES("/v1/messages");
+    CHAT("/v1/chat/completions"),
+    MESSAGES("/v1/messages");
 
     private final String path;
 
--- a/node/src/main/java/fawnlb/dialect/ErrorBody.java
+++ b/node/src/main/java/fawnlb/dialect/ErrorBody.java
@@ -6,7 +6,7 @@
 
 /** The body of an answer that is an error, in either dialect. */
 public final class ErrorBody {
-    private ErrorBody() { }
+    private ErrorBody() {}
 
     /** The error's type by HTTP status, in the messages dialect's words. */
     public static String type(int status) {
@@ -25,7 +25,8 @@
 
     /** The event that ends a stream with an error, as each dialect's clients know it. */
     public static String event(Dialect dialect, int status, String message) {
-        return (dialect == Dialect.MESSAGES ? "event: error\n" : "") + "data: " + write(dialect, status, message) + "\n\n";
+        return (dialect == Dialect.MESSAGES ? "event: error\n" : "") + "data: " + write(dialect, status, message)
+                + "\n\n";
     }
 
     public static String write(Dialect dialect, int status, String message) {
--- a/node/src/main/java/fawnlb/dialect/Fields.java
+++ b/node/src/main/java/fawnlb/dialect/Fields.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * The plain values of one JSON document by path: {@code choices.0.delta.content}. The bodies met here are
- * bounded and shallow, so a map of them is small.
+ * The plain values of one JSON document by path: {@code choices.0.delta.content}. The bodies met here are bounded and
+ * shallow, so a map of them is small.
  */
 final class Fields {
     static final JsonFactory JSON = new JsonFactory();
@@ -20,7 +20,7 @@
     private final Map<String, String> values = new HashMap<>();
     private final Map<String, Integer> sizes = new HashMap<>();
 
-    private Fields() { }
+    private Fields() {}
 
     static Fields parse(byte[] json) throws IOException {
         try (JsonParser in = JSON.createParser(json)) {
@@ -70,7 +70,7 @@
                 }
                 sizes.put(path, n);
             }
-            case VALUE_NULL -> { }
+            case VALUE_NULL -> {}
             default -> values.put(path, in.getText());
         }
     }
--- a/node/src/main/java/fawnlb/dialect/FirstEvent.java
+++ b/node/src/main/java/fawnlb/dialect/FirstEvent.java
@@ -5,16 +5,16 @@
 import java.nio.ByteBuffer;
 
 /**
- * Keeps the beginning of a stream until its first event is whole. A backend that breaks off within it has answered nothing, and
- * another may be asked; a client that was shown a part of it would be left with no answer.
+ * Keeps the beginning of a stream until its first event is whole. A backend that breaks off within it has answered
+ * nothing, and another may be asked; a client that was shown a part of it would be left with no answer.
  */
 public final class FirstEvent {
     private final SseParser events = new SseParser();
     private ByteArrayOutputStream begun = new ByteArrayOutputStream(0);
 
     /**
-     * What of these bytes, and of those before, the client may be shown: nothing before the first event is whole, all of it
-     * then, and each piece as it comes from there on. Fails where 256 KiB came without an event.
+     * What of these bytes, and of those before, the client may be shown: nothing before the first event is whole, all
+     * of it then, and each piece as it comes from there on. Fails where 256 KiB came without an event.
      */
     public ByteBuffer feed(ByteBuffer bytes) throws IOException {
         if (begun == null) {
@@ -32,7 +32,10 @@
         return release();
     }
 
-    /** What is kept, after which each piece may be shown as it comes: whoever can wait no longer takes the stream as it is. */
+    /**
+     * What is kept, after which each piece may be shown as it comes: whoever can wait no longer takes the stream as it
+     * is.
+     */
     public ByteBuffer release() {
         ByteBuffer all = ByteBuffer.wrap(begun == null ? new byte[0] : begun.toByteArray());
         begun = null;
--- a/node/src/main/java/fawnlb/dialect/PieceReader.java
+++ b/node/src/main/java/fawnlb/dialect/PieceReader.java
@@ -9,8 +9,15 @@
 /** Reads the pieces of an answer out of one dialect's events or whole answer. */
 final class PieceReader {
     /** The events of the messages interface that are known here. */
-    private static final Set<String> MESSAGE_EVENTS = Set.of("message_start", "content_block_start", "content_block_delta",
-            "content_block_stop", "message_delta", "message_stop", "ping", "error");
+    private static final Set<String> MESSAGE_EVENTS = Set.of(
+            "message_start",
+            "content_block_start",
+            "content_block_delta",
+            "content_block_stop",
+            "message_delta",
+            "message_stop",
+            "ping",
+            "error");
 
     private final Dialect dialect;
     private boolean started;
@@ -97,12 +104,16 @@
             }
             case "content_block_start" -> {
                 String text = in.text("content_block.text", "");
-                return List.of(!in.text("content_block.type", "").equals("text") ? new Piece.Unknown()
-                        : text.isEmpty() ? new Piece.Silent() : new Piece.Text(text));
+                return List.of(
+                        !in.text("content_block.type", "").equals("text")
+                                ? new Piece.Unknown()
+                                : text.isEmpty() ? new Piece.Silent() : new Piece.Text(text));
             }
             case "content_block_delta" -> {
-                return List.of(in.text("delta.type", "").equals("text_delta")
-                        ? new Piece.Text(in.text("delta.text", "")) : new Piece.Unknown());
+                return List.of(
+                        in.text("delta.type", "").equals("text_delta")
+                                ? new Piece.Text(in.text("delta.text", ""))
+                                : new Piece.Unknown());
             }
             case "message_delta" -> {
                 messageUsage(in, "usage");
--- a/node/src/main/java/fawnlb/dialect/PieceWriter.java
+++ b/node/src/main/java/fawnlb/dialect/PieceWriter.java
@@ -34,10 +34,12 @@
     }
 
     private static String event(String name, Body body) throws IOException {
-        return "event: " + name + "\ndata: " + json(out -> {
-            out.writeStringField("type", name);
-            body.write(out);
-        }) + "\n\n";
+        return "event: " + name + "\ndata: "
+                + json(out -> {
+                    out.writeStringField("type", name);
+                    body.write(out);
+                })
+                + "\n\n";
     }
 
     String write(Piece piece) throws IOException {
@@ -56,12 +58,14 @@
         } else if (piece instanceof Piece.Text p) {
             return chunk("content", p.text(), null);
         } else if (piece instanceof Piece.Stop p) {
-            return chunk(null, null, finishReason(p.reason())) + "data: " + json(out -> {
-                chatHead(out, "chat.completion.chunk");
-                out.writeArrayFieldStart("choices");
-                out.writeEndArray();
-                chatUsage(out, p);
-            }) + "\n\n";
+            return chunk(null, null, finishReason(p.reason())) + "data: "
+                    + json(out -> {
+                        chatHead(out, "chat.completion.chunk");
+                        out.writeArrayFieldStart("choices");
+                        out.writeEndArray();
+                        chatUsage(out, p);
+                    })
+                    + "\n\n";
         } else if (piece instanceof Piece.Done) {
             return "data: [DONE]\n\n";
         } else if (piece instanceof Piece.Failure p) {
@@ -71,20 +75,22 @@
     }
 
     private String chunk(String field, String value, String finish) throws IOException {
-        return "data: " + json(out -> {
-            chatHead(out, "chat.completion.chunk");
-            out.writeArrayFieldStart("choices");
-            out.writeStartObject();
-            out.writeNumberField("index", 0);
-            out.writeObjectFieldStart("delta");
-            if (field != null) {
-                out.writeStringField(field, value);
-            }
-            out.writeEndObject();
-            out.writeStringField("finish_reason", finish);
-            out.writeEndObject();
-            out.writeEndArray();
-        }) + "\n\n";
+        return "data: "
+                + json(out -> {
+                    chatHead(out, "chat.completion.chunk");
+                    out.writeArrayFieldStart("choices");
+                    out.writeStartObject();
+                    out.writeNumberField("index", 0);
+                    out.writeObjectFieldStart("delta");
+                    if (field != null) {
+                        out.writeStringField(field, value);
+                    }
+                    out.writeEndObject();
+                    out.writeStringField("finish_reason", finish);
+                    out.writeEndObject();
+                    out.writeEndArray();
+                })
+                + "\n\n";
     }
 
     private void chatHead(JsonGenerator out, String object) throws IOException {
@@ -135,26 +141,29 @@
             });
         } else if (piece instanceof Piece.Text p) {
             String open = openBlock();
-            return open + event("content_block_delta", out -> {
-                out.writeNumberField("index", 0);
-                out.writeObjectFieldStart("delta");
-                out.writeStringField("type", "text_delta");
-                out.writeStringField("text", p.text());
-                out.writeEndObject();
-            });
+            return open
+                    + event("content_block_delta", out -> {
+                        out.writeNumberField("index", 0);
+                        out.writeObjectFieldStart("delta");
+                        out.writeStringField("type", "text_delta");
+                        out.writeStringField("text", p.text());
+                        out.writeEndObject();
+                    });
         } else if (piece instanceof Piece.Stop p) {
             String block = blockEver ? "" : openBlock();
             String close = blockOpen ? event("content_block_stop", out -> out.writeNumberField("index", 0)) : "";
             blockOpen = false;
-            return block + close + event("message_delta", out -> {
-                out.writeObjectFieldStart("delta");
-                out.writeStringField("stop_reason", p.reason());
-                out.writeNullField("stop_sequence");
-                out.writeEndObject();
-                messageUsage(out, p.inputTokens(), p.outputTokens(), p.keptTokens());
-            });
+            return block
+                    + close
+                    + event("message_delta", out -> {
+                        out.writeObjectFieldStart("delta");
+                        out.writeStringField("stop_reason", p.reason());
+                        out.writeNullField("stop_sequence");
+                        out.writeEndObject();
+                        messageUsage(out, p.inputTokens(), p.outputTokens(), p.keptTokens());
+                    });
         } else if (piece instanceof Piece.Done) {
-            return event("message_stop", out -> { });
+            return event("message_stop", out -> {});
         } else if (piece instanceof Piece.Failure p) {
             return event("error", out -> error(out, p));
         }
--- a/node/src/main/java/fawnlb/dialect/Prompt.java
+++ b/node/src/main/java/fawnlb/dialect/Prompt.java
@@ -7,13 +7,21 @@
 import java.util.List;
 
 /** A request in neither dialect's words. Numbers that are only passed on stay text, null if missing. */
-public record Prompt(String model, long maxTokens, boolean stream, String system, List<Turn> turns, String temperature,
-                     String topP, List<String> stops, String user) {
+public record Prompt(
+        String model,
+        long maxTokens,
+        boolean stream,
+        String system,
+        List<Turn> turns,
+        String temperature,
+        String topP,
+        List<String> stops,
+        String user) {
     private static final long DEFAULT_MAX_TOKENS = 1024;
     private static final long MAX_TOKENS = 1_000_000;
 
     /** One message of the conversation. */
-    public record Turn(String role, String text) { }
+    public record Turn(String role, String text) {}
 
     /** A request that its dialect does not allow, or that can't be said in the other one. */
     public static final class Bad extends Exception {
@@ -26,7 +34,10 @@
 
     /** Four characters make a token. */
     public long promptTokens() {
-        return (system.length() + turns.stream().mapToLong(turn -> turn.text().length()).sum() + 3) / 4;
+        return (system.length()
+                        + turns.stream().mapToLong(turn -> turn.text().length()).sum()
+                        + 3)
+                / 4;
     }
 
     public static Prompt read(Dialect dialect, byte[] body) throws Bad {
@@ -46,7 +57,8 @@
         if (in.size("tools") > 0) {
             throw new Bad("tools: not served here");
         }
-        StringBuilder system = new StringBuilder(dialect == Dialect.MESSAGES && in.has("system") ? content(in, "system") : "");
+        StringBuilder system =
+                new StringBuilder(dialect == Dialect.MESSAGES && in.has("system") ? content(in, "system") : "");
         List<Turn> turns = new ArrayList<>();
         for (int i = 0; i < in.size("messages"); i++) {
             String at = "messages." + i + '.';
@@ -63,8 +75,15 @@
                 default -> throw new Bad(at + "role: expected user or assistant");
             }
         }
-        return new Prompt(model, maxTokens(dialect, in), truth(in, "stream"), system.toString(), List.copyOf(turns),
-                number(in, "temperature"), number(in, "top_p"), stops(in, dialect == Dialect.CHAT ? "stop" : "stop_sequences"),
+        return new Prompt(
+                model,
+                maxTokens(dialect, in),
+                truth(in, "stream"),
+                system.toString(),
+                List.copyOf(turns),
+                number(in, "temperature"),
+                number(in, "top_p"),
+                stops(in, dialect == Dialect.CHAT ? "stop" : "stop_sequences"),
                 in.text(dialect == Dialect.CHAT ? "user" : "metadata.user_id"));
     }
 
--- a/node/src/main/java/fawnlb/dialect/SseParser.java
+++ b/node/src/main/java/fawnlb/dialect/SseParser.java
@@ -12,7 +12,7 @@
     static final int MAX_EVENT_BYTES = 256 * 1024;
 
     /** An event: its name, empty if it has none, and its data lines joined with line feeds. */
-    record Event(String name, String data) { }
+    record Event(String name, String data) {}
 
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private boolean afterCr;
--- a/node/src/main/java/fawnlb/discovery/Discovery.java
+++ b/node/src/main/java/fawnlb/discovery/Discovery.java
@@ -31,10 +31,14 @@
     private static final long HEARTBEAT_SLACK = SECOND / 10;
     /** What came while the I/O thread was busy is read before its timers are believed. */
     private static final long SECOND_LOOK = SECOND / 20;
-    /** After so long a silence another call is made; the watch that is silent stays open until then, and may speak again. */
+    /**
+     * After so long a silence another call is made; the watch that is silent stays open until then, and may speak
+     * again.
+     */
     static final long SILENCE = HEARTBEAT + HEARTBEAT_SLACK + SECOND_LOOK;
     /** A call that is refused after so long has waited for its turn. */
     private static final long WAITED = SECOND;
+
     private static final int UNAVAILABLE = 503;
     private static final long SAY_AGAIN = 10 * SECOND;
     /** Enough for some 20,000 members. */
@@ -60,11 +64,11 @@
         void heard(ListKind kind, MemberList list);
 
         /** Nothing has changed since the last list. */
-        default void heartbeat() { }
+        default void heartbeat() {}
     }
 
-    public Discovery(XnioIoThread thread, Timers timers, Mailbox mailbox, InetSocketAddress address,
-                     Subscriber subscriber) {
+    public Discovery(
+            XnioIoThread thread, Timers timers, Mailbox mailbox, InetSocketAddress address, Subscriber subscriber) {
         this.thread = thread;
         this.timers = timers;
         this.mailbox = mailbox;
@@ -81,8 +85,8 @@
     }
 
     /**
-     * From here on the list comes from another address. A watch goes over at once, whether it lives or waits to
-     * be opened again: what changes from now on counts as told soon, and the old address says nothing of it.
+     * From here on the list comes from another address. A watch goes over at once, whether it lives or waits to be
+     * opened again: what changes from now on counts as told soon, and the old address says nothing of it.
      */
     public void move(InetSocketAddress to) {
         mailbox.tellAlways(() -> {
@@ -122,7 +126,8 @@
     private void line(String text, boolean watching) throws IOException {
         MemberList list = MemberList.parse(text);
         if (watching && !list.complete() && list.revision() < revision) {
-            // Changes older than what is held would undo newer ones. Whoever sends them counts anew: ask for the whole list.
+            // Changes older than what is held would undo newer ones. Whoever sends them counts anew: ask for the whole
+            // list.
             long held = revision;
             revision = 0;
             throw new IOException("revision " + list.revision() + " after " + held);
@@ -139,7 +144,8 @@
             unsaid++;
             return;
         }
-        LOG.info("discovery: " + fault + (unsaid > 0 ? "; " + unsaid + " more calls failed since the last such line" : ""));
+        LOG.info("discovery: " + fault
+                + (unsaid > 0 ? "; " + unsaid + " more calls failed since the last such line" : ""));
         said = fault;
         saidAt = timers.now();
         unsaid = 0;
@@ -183,8 +189,11 @@
                 } else if (done) {
                     opened.close();
                 } else {
-                    opened.send(this, ByteBuffer.wrap(("GET " + path + " HTTP/1.1\r\nHost: " + address.getHostString() + ':'
-                            + address.getPort() + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1)));
+                    opened.send(
+                            this,
+                            ByteBuffer.wrap(("GET " + path + " HTTP/1.1\r\nHost: " + address.getHostString() + ':'
+                                            + address.getPort() + "\r\n\r\n")
+                                    .getBytes(StandardCharsets.ISO_8859_1)));
                 }
             });
         }
@@ -211,7 +220,10 @@
             patience = timers.after(time, () -> mailbox.tellAlways(then));
         }
 
-        /** Counts as a call that failed, so that the next one is made; drops nothing, for a false alarm costs nothing then. */
+        /**
+         * Counts as a call that failed, so that the next one is made; drops nothing, for a false alarm costs nothing
+         * then.
+         */
         private void missesHeartbeat() {
             if (!told) {
                 fail("silent");
--- a/node/src/main/java/fawnlb/discovery/ListReader.java
+++ b/node/src/main/java/fawnlb/discovery/ListReader.java
@@ -8,8 +8,9 @@
 import java.util.List;
 
 /**
- * Finds the JSON objects and the blank lines between them in pieces of any size. An object may be on one line or indented over
- * many; a blank line, between two objects, is a heartbeat. Within an object a blank line says that the rest of it was lost.
+ * Finds the JSON objects and the blank lines between them in pieces of any size. An object may be on one line or
+ * indented over many; a blank line, between two objects, is a heartbeat. Within an object a blank line says that the
+ * rest of it was lost.
  */
 final class ListReader {
     /** What stands for a blank line among the objects. */
--- a/node/src/main/java/fawnlb/discovery/Member.java
+++ b/node/src/main/java/fawnlb/discovery/Member.java
@@ -3,8 +3,16 @@
 import fawnlb.decision.Balancer.Phase;
 
 /** A backend as discovery lists it. */
-public record Member(String id, String host, int port, String zone, String kind, int cell, Phase phase, double size,
-                     long upSinceMillis) {
+public record Member(
+        String id,
+        String host,
+        int port,
+        String zone,
+        String kind,
+        int cell,
+        Phase phase,
+        double size,
+        long upSinceMillis) {
 
     /** The same number at every node: a backend's place on the ring comes from it. */
     public long number() {
--- a/node/src/main/java/fawnlb/discovery/MemberList.java
+++ b/node/src/main/java/fawnlb/discovery/MemberList.java
@@ -16,6 +16,7 @@
     /** A name would have to be looked up, on the thread that carries all flows and where there is nobody to ask. */
     private static final Pattern NUMERIC = Pattern.compile(
             "(((25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])(\\.(?=[0-9])|(?=:))){4}|\\[[0-9a-fA-F:.]{2,45}\\]):[0-9]{1,5}");
+
     private static final int MAX_PORT = 0xffff;
     private static final int MAX_QUOTE_LENGTH = 60;
 
--- a/node/src/main/java/fawnlb/discovery/StartTimes.java
+++ b/node/src/main/java/fawnlb/discovery/StartTimes.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 
 /**
- * When each backend has started, on the node's own clock, which runs on the monotonic one and may have been set wrong by any
- * amount when the node started.
+ * When each backend has started, on the node's own clock, which runs on the monotonic one and may have been set wrong
+ * by any amount when the node started.
  *
- * <p>Discovery tells starts as times of another clock. They order the starts of one backend; a backend's age is taken from them only
- * as far as nothing refutes it. A start that discovery tells was not there when it last said something, be it an empty line: it
- * lies between that and now. One that would lie in the future, or long before discovery's last word, shows that the clocks differ;
- * then the backend counts as just started, and the difference is remembered for starts that nothing else bounds. Too young is the
- * safe side: such a backend gets less than its part for a moment, while one taken for too old would be overloaded.
+ * <p>Discovery tells starts as times of another clock. They order the starts of one backend; a backend's age is taken
+ * from them only as far as nothing refutes it. A start that discovery tells was not there when it last said something,
+ * be it an empty line: it lies between that and now. One that would lie in the future, or long before discovery's last
+ * word, shows that the clocks differ; then the backend counts as just started, and the difference is remembered for
+ * starts that nothing else bounds. Too young is the safe side: such a backend gets less than its part for a moment,
+ * while one taken for too old would be overloaded.
  *
  * <p>Times are nanoseconds on the node's clock. All of it belongs to one thread.
  */
@@ -21,10 +22,13 @@
     private static final long NEVER = Long.MIN_VALUE;
     /** What discovery tells may be so old, by the operators' page: a start that seems older is refuted. */
     private static final long MAX_NOTICE = 6_000_000_000L;
-    /** Backends that are remembered, those that have left included: one that returns without a restart is as old as it was. */
+    /**
+     * Backends that are remembered, those that have left included: one that returns without a restart is as old as it
+     * was.
+     */
     private static final int MAX_REMEMBERED = 8192;
 
-    private record Start(long upSinceMillis, long at) { }
+    private record Start(long upSinceMillis, long at) {}
 
     private final Map<Long, Start> starts = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
@@ -40,7 +44,11 @@
 
     /** Takes a list's starts, before {@link #heard} is called for it. */
     public void update(MemberList list, long now) {
-        long latest = list.members().stream().filter(StartTimes::isTold).mapToLong(Member::upSinceMillis).max().orElse(0);
+        long latest = list.members().stream()
+                .filter(StartTimes::isTold)
+                .mapToLong(Member::upSinceMillis)
+                .max()
+                .orElse(0);
         if (latest * MILLISECOND - difference > now) {
             difference = latest * MILLISECOND - now;
         }
@@ -48,7 +56,9 @@
             Start known = starts.get(member.number());
             if (isTold(member) && (known == null || known.upSinceMillis() < member.upSinceMillis())) {
                 starts.remove(member.number());
-                starts.put(member.number(), new Start(member.upSinceMillis(), bounded(member.upSinceMillis() * MILLISECOND, now)));
+                starts.put(
+                        member.number(),
+                        new Start(member.upSinceMillis(), bounded(member.upSinceMillis() * MILLISECOND, now)));
             }
         }
     }
--- a/node/src/main/java/fawnlb/flow/Backends.java
+++ b/node/src/main/java/fawnlb/flow/Backends.java
@@ -11,8 +11,8 @@
     long MAX_HELD_UP = 150_000_000;
 
     /**
-     * Starts an attempt. The report hears of it once or twice: perhaps its start, and always its end. A backend that drains or
-     * has left by the time at which its connection is up is sent nothing.
+     * Starts an attempt. The report hears of it once or twice: perhaps its start, and always its end. A backend that
+     * drains or has left by the time at which its connection is up is sent nothing.
      *
      * @param until when the node no longer waits for its answer to begin, in nanoseconds on the host's clock
      * @param sendBy the request is not sent at this time or later, in nanoseconds on the host's clock
@@ -31,7 +31,9 @@
 
     /** What becomes of an attempt. */
     interface Report {
-        /** Asked when the request is about to be written, which may be long after it was decided on: is it still wanted? */
+        /**
+         * Asked when the request is about to be written, which may be long after it was decided on: is it still wanted?
+         */
         boolean wanted();
 
         void started(Source source);
@@ -39,7 +41,9 @@
         /** Instead of its start: the backend finds the request itself wrong, as every backend would. */
         void rejected(Source source);
 
-        /** Between its start and its end: its reader has stopped, and until it reads on it is no work for the backend. */
+        /**
+         * Between its start and its end: its reader has stopped, and until it reads on it is no work for the backend.
+         */
         void parked();
 
         void ended(Ending ending, long kept, List<Double> load);
--- a/node/src/main/java/fawnlb/flow/ClientConnection.java
+++ b/node/src/main/java/fawnlb/flow/ClientConnection.java
@@ -15,8 +15,10 @@
     /** A backend's stream is the answer. */
     void streaming(Source source);
 
-    /** Fixed response: trying again is harmless, after so many nanoseconds. Cause: how the last attempt ended,
-     *  null if there was none. */
+    /**
+     * Fixed response: trying again is harmless, after so many nanoseconds. Cause: how the last attempt ended, null if
+     * there was none.
+     */
     void refused(Ending cause, long retryAfter);
 
     /** Fixed response: failed, with no word on what it did. */
--- a/node/src/main/java/fawnlb/flow/Flows.java
+++ b/node/src/main/java/fawnlb/flow/Flows.java
@@ -13,8 +13,8 @@
 import java.util.logging.Logger;
 
 /**
- * The core: the module's actor and the owner of every flow from taken to its one final answer. It carries
- * out what the module decides and knows nothing of how clients and backends speak.
+ * The core: the module's actor and the owner of every flow from taken to its one final answer. It carries out what the
+ * module decides and knows nothing of how clients and backends speak.
  */
 public final class Flows {
     private static final Logger LOG = Logger.getLogger(Flows.class.getName());
@@ -24,13 +24,14 @@
     private static final long LAST_CALL = 25_000_000;
     /** A request may have waited unread for so long without anybody counting it. */
     private static final long UNCOUNTED_WAIT = 100_000_000;
+
     private static final long DEFAULT_RETRY_AFTER = 1_000_000_000;
     private static final long NEVER = Long.MAX_VALUE;
     private static final long MILLISECOND = 1_000_000;
 
     /**
-     * A planned end answers by then what has not begun to be answered, in nanoseconds: the operators kill the process 3.7 s after
-     * SIGTERM at the soonest, however long the deadlines are.
+     * A planned end answers by then what has not begun to be answered, in nanoseconds: the operators kill the process
+     * 3.7 s after SIGTERM at the soonest, however long the deadlines are.
      */
     static final long PLANNED_END = 3_200_000_000L;
 
@@ -46,8 +47,14 @@
     private volatile int open;
     private volatile boolean closed;
 
-    public Flows(Balancer.Settings settings, long seed, Balancer.Maker maker, Mailbox mailbox, Timers timers,
-                 Backends backends, Roster roster) {
+    public Flows(
+            Balancer.Settings settings,
+            long seed,
+            Balancer.Maker maker,
+            Mailbox mailbox,
+            Timers timers,
+            Backends backends,
+            Roster roster) {
         this.settings = settings;
         this.mailbox = mailbox;
         this.timers = timers;
@@ -118,7 +125,8 @@
     }
 
     private void armLastCall(Flow flow) {
-        flow.lastCall = timers.after(Math.min(flow.deadline + LAST_CALL, endBy) - timers.now(),
+        flow.lastCall = timers.after(
+                Math.min(flow.deadline + LAST_CALL, endBy) - timers.now(),
                 () -> mailbox.tellOrFail(() -> lastCall(flow), () -> abandon(flow)));
     }
 
@@ -129,12 +137,14 @@
 
     /** Takes a flow; null if there is no room for one more, and the front must refuse it. */
     public Ticket take(Ask ask, ClientConnection client) {
-        // Its time runs from its arrival: on a busy thread it has waited, and a backend must not be told of time that has passed.
+        // Its time runs from its arrival: on a busy thread it has waited, and a backend must not be told of time that
+        // has passed.
         long taken = timers.now() - Math.max(0, Math.max(timers.eventAge(), client.queued()) - UNCOUNTED_WAIT);
         Ticket[] ticket = new Ticket[1];
         Flow[] flow = new Flow[1];
-        boolean room = !closed && open < settings.limits().open() && mailbox.tell(() -> flow[0] = begin(ask, client, taken),
-                () -> abandon(flows.get(lastId)));
+        boolean room = !closed
+                && open < settings.limits().open()
+                && mailbox.tell(() -> flow[0] = begin(ask, client, taken), () -> abandon(flows.get(lastId)));
         ticket[0] = () -> mailbox.tellAlways(() -> gone(flow[0]));
         return room ? ticket[0] : null;
     }
@@ -154,9 +164,20 @@
         flows.put(flow.id, flow);
         open = flows.size();
         armLastCall(flow);
-        tell(new Balancer.Request(flow.id, ask.type(), ask.tenant(), ask.session(), ask.prefix(),
-                Math.max(0, flow.deadline - timers.now()), 0, ask.promptTokens(), ask.prefixTokens(),
-                ask.maxTokens(), false, ask.repeat(), false));
+        tell(new Balancer.Request(
+                flow.id,
+                ask.type(),
+                ask.tenant(),
+                ask.session(),
+                ask.prefix(),
+                Math.max(0, flow.deadline - timers.now()),
+                0,
+                ask.promptTokens(),
+                ask.prefixTokens(),
+                ask.maxTokens(),
+                false,
+                ask.repeat(),
+                false));
         return flow;
     }
 
@@ -175,7 +196,8 @@
 
     private void lastCall(Flow flow) {
         if (!flow.over) {
-            LOG.warning(name(flow) + (timers.now() < endBy ? " had no answer at its deadline" : " is answered since the process ends")
+            LOG.warning(name(flow)
+                    + (timers.now() < endBy ? " had no answer at its deadline" : " is answered since the process ends")
                     + ", after " + flow.attempts + " attempt(s)" + (flow.out == null ? "" : ", one of them still out"));
             boolean harmless = type(flow).refusable(flow.out != null || flow.ranFrom != NEVER);
             finish(flow, () -> {
@@ -251,8 +273,10 @@
             roster.fetch();
         } else if (action instanceof Balancer.Probe a) {
             long sentAt = timers.now();
-            backends.probe(a.replica(), (outcome, load) -> mailbox.tellAlways(() ->
-                    tell(new Balancer.Probed(a.replica(), outcome, timers.now() - sentAt, load))));
+            backends.probe(
+                    a.replica(),
+                    (outcome, load) -> mailbox.tellAlways(
+                            () -> tell(new Balancer.Probed(a.replica(), outcome, timers.now() - sentAt, load))));
         } else if (action instanceof Balancer.Log a) {
             LOG.info(a.text());
         }
@@ -264,7 +288,8 @@
             return;
         }
         boolean mayHaveRun = flow.out != null || flow.ranFrom != NEVER;
-        if (Invariant.REPEATED_AS_EFFECT_ALLOWS.holds(type(flow).refusable(mayHaveRun), () -> name(flow), "refused after it may have run")) {
+        if (Invariant.REPEATED_AS_EFFECT_ALLOWS.holds(
+                type(flow).refusable(mayHaveRun), () -> name(flow), "refused after it may have run")) {
             finish(flow, () -> flow.client.refused(flow.last, retryAfter(retryAfter)));
         } else {
             finish(flow, () -> flow.client.failed(flow.last));
@@ -278,13 +303,18 @@
     private void send(Balancer.Send send) {
         Flow flow = flows.get(send.request());
         // Never an attempt for a flow that is over, a second one beside another, or one more than allowed.
-        if (flow == null || flow.over || flow.out != null || flow.attempts >= settings.limits().attempts()) {
-            Invariant.ONE_ATTEMPT_AT_A_TIME.holds(flow == null || flow.over || flow.out == null, () -> name(flow),
+        if (flow == null
+                || flow.over
+                || flow.out != null
+                || flow.attempts >= settings.limits().attempts()) {
+            Invariant.ONE_ATTEMPT_AT_A_TIME.holds(
+                    flow == null || flow.over || flow.out == null,
+                    () -> name(flow),
                     "another attempt was asked for while one is out");
             int number = flow == null ? 0 : flow.attempts++;
             boolean over = flow == null || flow.over;
-            mailbox.tellAlways(() -> tell(new Balancer.Ended(send.request(), number, send.replica(), Outcome.NEVER_SENT,
-                    over, 0, 0, List.of())));
+            mailbox.tellAlways(() -> tell(new Balancer.Ended(
+                    send.request(), number, send.replica(), Outcome.NEVER_SENT, over, 0, 0, List.of())));
             return;
         }
         long now = timers.now();
@@ -293,13 +323,17 @@
         LOG.fine(() -> name(flow) + ": attempt " + out.number + " to backend " + out.backend + ", given up in "
                 + (stopAt - now) / MILLISECOND + " ms");
         flow.out = out;
-        out.stop = timers.after(stopAt - now, () -> mailbox.tellAlways(() -> {
-            if (flow.out == out && !out.streaming) {
-                stop(flow, End.OUT_OF_TIME);
-            }
-        }));
-        boolean again = type(flow).effect() == Balancer.Effect.SAFE && flow.attempts < settings.limits().attempts();
-        out.attempt = backends.attempt(send.replica(), flow.ask, stopAt, sendBy(flow), again, new AttemptReport(flow, out));
+        out.stop = timers.after(
+                stopAt - now,
+                () -> mailbox.tellAlways(() -> {
+                    if (flow.out == out && !out.streaming) {
+                        stop(flow, End.OUT_OF_TIME);
+                    }
+                }));
+        boolean again = type(flow).effect() == Balancer.Effect.SAFE
+                && flow.attempts < settings.limits().attempts();
+        out.attempt =
+                backends.attempt(send.replica(), flow.ask, stopAt, sendBy(flow), again, new AttemptReport(flow, out));
     }
 
     /** What becomes of one attempt, handed on to the core's mailbox. */
@@ -345,7 +379,9 @@
     /** A connect takes its time: a repeat that was decided within the window of a keyed class may be sent behind it. */
     private long sendBy(Flow flow) {
         Balancer.RequestClass type = type(flow);
-        return type.effect() == Balancer.Effect.SAFE || flow.ranFrom == NEVER ? NEVER : flow.ranFrom + type.window() - Backends.MAX_HELD_UP;
+        return type.effect() == Balancer.Effect.SAFE || flow.ranFrom == NEVER
+                ? NEVER
+                : flow.ranFrom + type.window() - Backends.MAX_HELD_UP;
     }
 
     // ---- What becomes of attempts ---------------------------------------------------------------------
@@ -383,7 +419,14 @@
     private void parked(Flow flow, Out out) {
         if (flow.out == out && out.streaming && !out.rejected && !out.parked) {
             out.parked = true;
-            tell(new Balancer.Ended(flow.id, out.number, out.backend, Outcome.CANCELLED, true, timers.now() - out.sentAt, 0,
+            tell(new Balancer.Ended(
+                    flow.id,
+                    out.number,
+                    out.backend,
+                    Outcome.CANCELLED,
+                    true,
+                    timers.now() - out.sentAt,
+                    0,
                     List.of()));
         }
     }
--- a/node/src/main/java/fawnlb/http/BodyReader.java
+++ b/node/src/main/java/fawnlb/http/BodyReader.java
@@ -21,9 +21,9 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Receives requests' whole bodies, up to the protocol's limit for each and to a limit of memory for all.
- * Undertow's receiver is not used: it takes memory for as many bytes as a client announces before it looks at
- * its limit, which ends the process, and it passes over chunks that can't be read.
+ * Receives requests' whole bodies, up to the protocol's limit for each and to a limit of memory for all. Undertow's
+ * receiver is not used: it takes memory for as many bytes as a client announces before it looks at its limit, which
+ * ends the process, and it passes over chunks that can't be read.
  */
 public final class BodyReader {
     private static final int MAX_BODY_BYTES = 256 * 1024;
@@ -33,7 +33,9 @@
 
     private final AtomicLong room;
 
-    /** Holds so many bytes of bodies at a time: every client at once with the largest one would be more than the heap. */
+    /**
+     * Holds so many bytes of bodies at a time: every client at once with the largest one would be more than the heap.
+     */
     public BodyReader(long mostHeld) {
         room = new AtomicLong(mostHeld);
     }
@@ -82,9 +84,13 @@
                 taken.accept(exchange, new byte[0]);
             } else {
                 content = exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING)
-                        ? Content.chunked(MAX_BODY_BYTES) : Content.fixed(length);
-                patience = exchange.getIoThread().executeAfter(
-                        () -> refuse(StatusCodes.REQUEST_TIME_OUT, "the body did not come"), PATIENCE_MS, TimeUnit.MILLISECONDS);
+                        ? Content.chunked(MAX_BODY_BYTES)
+                        : Content.fixed(length);
+                patience = exchange.getIoThread()
+                        .executeAfter(
+                                () -> refuse(StatusCodes.REQUEST_TIME_OUT, "the body did not come"),
+                                PATIENCE_MS,
+                                TimeUnit.MILLISECONDS);
                 connection.getChannel().getSourceChannel().setReadListener(c -> read());
                 if (HttpContinue.requiresContinueResponse(exchange)) {
                     HttpContinue.sendContinueResponse(exchange, new Continued());
--- a/node/src/main/java/fawnlb/http/Connection.java
+++ b/node/src/main/java/fawnlb/http/Connection.java
@@ -16,13 +16,14 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The client's side of one HTTP/1.1 connection: one call at a time, never sent again by itself. All of it
- * runs on one I/O thread.
+ * The client's side of one HTTP/1.1 connection: one call at a time, never sent again by itself. All of it runs on one
+ * I/O thread.
  */
 public final class Connection {
     private static final int READ_SIZE = 16 * 1024;
     /** What one read brings is copied out before the next, so a thread needs only one. */
-    private static final ThreadLocal<ByteBuffer> READ = ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(READ_SIZE));
+    private static final ThreadLocal<ByteBuffer> READ =
+            ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(READ_SIZE));
 
     /** A connection that broke ends no answer, not even one that goes on to the connection's end. */
     private static final int RESET = -2;
@@ -55,7 +56,12 @@
     }
 
     /** How a call can break. NOT_WRITTEN: before the request's last byte was handed to the network. */
-    public enum Break { NOT_WRITTEN, CLOSED, UNREADABLE, UNFINISHED_HEAD }
+    public enum Break {
+        NOT_WRITTEN,
+        CLOSED,
+        UNREADABLE,
+        UNFINISHED_HEAD
+    }
 
     /** Hears whether a connect came up: a connection, or null. */
     @FunctionalInterface
@@ -63,8 +69,8 @@
         void opened(Connection connection);
 
         /**
-         * Instead, where it failed for a reason of this machine: no descriptor, port, buffer or route. It says nothing of the
-         * other side.
+         * Instead, where it failed for a reason of this machine: no descriptor, port, buffer or route. It says nothing
+         * of the other side.
          */
         default void failedLocally(IOException cause) {
             opened(null);
@@ -80,25 +86,29 @@
     }
 
     /** Connects; the answer comes once, at the latest after {@code timeout} nanoseconds. */
-    public static void open(XnioIoThread thread, Timers timers, InetSocketAddress address, long timeout,
-                            Opened opened) {
-        IoFuture<StreamConnection> future = thread.openStreamConnection(address, null,
-                OptionMap.create(Options.TCP_NODELAY, true));
+    public static void open(
+            XnioIoThread thread, Timers timers, InetSocketAddress address, long timeout, Opened opened) {
+        IoFuture<StreamConnection> future =
+                thread.openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
         // Taking the connect back frees its descriptor; one to a vanished machine would hold it for minutes.
         Timers.Timer timer = timers.after(timeout, future::cancel);
-        future.addNotifier((f, none) -> thread.execute(() -> {
-            timer.cancel();
-            if (f.getStatus() == IoFuture.Status.FAILED && isLocal(f.getException())) {
-                opened.failedLocally(f.getException());
-            } else {
-                opened.opened(f.getStatus() == IoFuture.Status.DONE ? done(f, timers) : null);
-            }
-        }), null);
+        future.addNotifier(
+                (f, none) -> thread.execute(() -> {
+                    timer.cancel();
+                    if (f.getStatus() == IoFuture.Status.FAILED && isLocal(f.getException())) {
+                        opened.failedLocally(f.getException());
+                    } else {
+                        opened.opened(f.getStatus() == IoFuture.Status.DONE ? done(f, timers) : null);
+                    }
+                }),
+                null);
     }
 
     /** The platform has exceptions of their own for what the other side or the way to it refuses. */
     private static boolean isLocal(IOException cause) {
-        return !(cause instanceof ConnectException || cause instanceof NoRouteToHostException || cause instanceof PortUnreachableException);
+        return !(cause instanceof ConnectException
+                || cause instanceof NoRouteToHostException
+                || cause instanceof PortUnreachableException);
     }
 
     private static Connection done(IoFuture<? extends StreamConnection> future, Timers timers) {
@@ -114,8 +124,8 @@
     }
 
     /**
-     * Whether a request can be sent on it, between two calls. What has come unasked by then, a second answer to
-     * the call before or the other side's close, would be taken for the next call's answer.
+     * Whether a request can be sent on it, between two calls. What has come unasked by then, a second answer to the
+     * call before or the other side's close, would be taken for the next call's answer.
      */
     public boolean isUsable() {
         if (isOpen()) {
@@ -147,8 +157,8 @@
     }
 
     /**
-     * Asks for the next piece of the body. It comes when the I/O thread has looked at all sockets again: a wake-up would be
-     * a task, and a backend that sends without a pause would have the thread to itself.
+     * Asks for the next piece of the body. It comes when the I/O thread has looked at all sockets again: a wake-up
+     * would be a task, and a backend that sends without a pause would have the thread to itself.
      */
     public void more() {
         if (!closed) {
--- a/node/src/main/java/fawnlb/http/Content.java
+++ b/node/src/main/java/fawnlb/http/Content.java
@@ -5,15 +5,24 @@
 
 /**
  * The content of one message, of a request as of a response: of a given length, in chunks, or all up to the
- * connection's end. It takes the bytes that belong to it and leaves those that follow. Whatever can't be read
- * is an error: two readers that guess differently at where a message ends see different requests in it.
+ * connection's end. It takes the bytes that belong to it and leaves those that follow. Whatever can't be read is an
+ * error: two readers that guess differently at where a message ends see different requests in it.
  */
 final class Content {
     /** A chunk's size with its extensions, or all trailers. */
     private static final int MAX_LINES_BYTES = 4096;
+
     private static final int MAX_DIGITS = 15;
 
-    private enum State { FIXED, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER, TO_CLOSE, DONE }
+    private enum State {
+        FIXED,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        TO_CLOSE,
+        DONE
+    }
 
     private final Lines lines = new Lines(MAX_LINES_BYTES, true);
     private final long largest;
@@ -58,7 +67,8 @@
                     String line = lines.next(in);
                     if (line != null) {
                         line(line);
-                    } else if (state == State.CHUNK_END && !"\r".startsWith(lines.begun().toString())) {
+                    } else if (state == State.CHUNK_END
+                            && !"\r".startsWith(lines.begun().toString())) {
                         throw new IOException("chunk longer than its size");
                     }
                 }
@@ -112,7 +122,8 @@
     }
 
     private static long number(String text, int radix) throws IOException {
-        boolean plain = !text.isEmpty() && text.length() <= MAX_DIGITS
+        boolean plain = !text.isEmpty()
+                && text.length() <= MAX_DIGITS
                 && text.chars().allMatch(c -> c < 0x80 && Character.digit(c, radix) >= 0);
         if (!plain) {
             throw new IOException("not a length: '" + text.substring(0, Math.min(40, text.length())) + "'");
--- a/node/src/main/java/fawnlb/http/Heads.java
+++ b/node/src/main/java/fawnlb/http/Heads.java
@@ -7,7 +7,7 @@
 
 /** What both sides ask of a message's head. Undertow reads a request's; it takes more than a careful reader should. */
 public final class Heads {
-    private Heads() { }
+    private Heads() {}
 
     /** What is wrong with a request's head, null if nothing is: then its length can be trusted. */
     public static String fault(HttpServerExchange exchange) {
@@ -25,7 +25,8 @@
                 }
             }
         }
-        return framingFault(exchange.getRequestHeaders().get(Headers.TRANSFER_ENCODING),
+        return framingFault(
+                exchange.getRequestHeaders().get(Headers.TRANSFER_ENCODING),
                 exchange.getRequestHeaders().get(Headers.CONTENT_LENGTH));
     }
 
@@ -44,8 +45,8 @@
 
     /** A request with both, or with two, may hide another in its body. */
     private static String framingFault(HeaderValues coding, HeaderValues length) {
-        if (coding != null && (length != null || coding.size() > 1
-                || !coding.getFirst().equalsIgnoreCase("chunked"))) {
+        if (coding != null
+                && (length != null || coding.size() > 1 || !coding.getFirst().equalsIgnoreCase("chunked"))) {
             return "Transfer-Encoding: only 'chunked' is read, and alone";
         }
         if (length == null) {
@@ -61,7 +62,8 @@
 
     /** Whether the name is one that a header can have. */
     static boolean isToken(String name) {
-        return !name.isEmpty() && name.chars().allMatch(c -> c > ' ' && c < 0x7f && "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0);
+        return !name.isEmpty()
+                && name.chars().allMatch(c -> c > ' ' && c < 0x7f && "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0);
     }
 
     /** Whether the header decides where the message ends. */
--- a/node/src/main/java/fawnlb/http/ResponseParser.java
+++ b/node/src/main/java/fawnlb/http/ResponseParser.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 
 /**
- * Reads one HTTP/1.1 response from pieces of any size. Undertow's own client is not used for this: it can't
- * take back a connect that never comes up, and each such connect to a vanished engine would hold a
- * descriptor for minutes.
+ * Reads one HTTP/1.1 response from pieces of any size. Undertow's own client is not used for this: it can't take back a
+ * connect that never comes up, and each such connect to a vanished engine would hold a descriptor for minutes.
  */
 final class ResponseParser {
     /** All heads of a response together, those of 1xx answers ahead of it too: a head that never ends is an error. */
     private static final int MAX_HEADS_BYTES = 16 * 1024;
+
     private static final String VERSION = "HTTP/1.";
     /** Backends send events of a few hundred bytes each; one chunk of gigabytes is noise. */
     private static final long MAX_CHUNK_BYTES = 1 << 20;
--- a/node/src/main/java/fawnlb/messages/BrokerReplies.java
+++ b/node/src/main/java/fawnlb/messages/BrokerReplies.java
@@ -19,7 +19,8 @@
     private final LongConsumer settle;
 
     /** Settle: told the tokens that the flow took, below 0 if nobody knows. */
-    BrokerReplies(FlowRecord record, boolean stream, Parcel.Tally tally, FlowLog log, Timers timers, LongConsumer settle) {
+    BrokerReplies(
+            FlowRecord record, boolean stream, Parcel.Tally tally, FlowLog log, Timers timers, LongConsumer settle) {
         this.record = record;
         this.stream = stream;
         this.tally = tally;
@@ -40,8 +41,11 @@
 
     @Override
     public Reply refused(Ending cause) {
-        return reply(StatusCodes.SERVICE_UNAVAILABLE, cause == null ? "no room at the moment; try again later"
-                : "not served (" + cause.word() + "); try again later");
+        return reply(
+                StatusCodes.SERVICE_UNAVAILABLE,
+                cause == null
+                        ? "no room at the moment; try again later"
+                        : "not served (" + cause.word() + "); try again later");
     }
 
     @Override
@@ -53,7 +57,9 @@
     public String broken(Ending cause) {
         // Behind the last event there is nothing to add: the client has its answer.
         return stream && tally.status() == StatusCodes.OK && !tally.finished()
-                ? ErrorBody.event(record.dialect(), StatusCodes.BAD_GATEWAY, "the answer broke off (" + cause.word() + ")") : "";
+                ? ErrorBody.event(
+                        record.dialect(), StatusCodes.BAD_GATEWAY, "the answer broke off (" + cause.word() + ")")
+                : "";
     }
 
     private Reply reply(int status, String text) {
@@ -66,6 +72,12 @@
         boolean rejected = tally.status() != StatusCodes.OK;
         boolean none = rejected || end == End.REFUSED || end == End.FAILED;
         settle.accept(none ? 0 : tally.tokens() > 0 ? tally.tokens() : -1);
-        log.write(record, rejected ? "rejected" : end.name().toLowerCase(Locale.ROOT), status, cause, tally, timers.now());
+        log.write(
+                record,
+                rejected ? "rejected" : end.name().toLowerCase(Locale.ROOT),
+                status,
+                cause,
+                tally,
+                timers.now());
     }
 }
--- a/node/src/main/java/fawnlb/messages/FlowLog.java
+++ b/node/src/main/java/fawnlb/messages/FlowLog.java
@@ -13,6 +13,7 @@
 public final class FlowLog {
     /** 32473 is the enterprise number that RFC 5612 sets aside for examples; a site puts its own here. */
     private static final String ELEMENT = "flow@32473";
+
     private static final int NOTICE = 5;
     private static final int INFORMATIONAL = 6;
 
@@ -47,7 +48,7 @@
         data.put("status", Integer.toString(status));
         data.put("ms", Long.toString((now - flow.takenAt()) / 1_000_000));
         data.put("dropped", Long.toString(sender.dropped()));
-        sender.send(format.format(end.equals("served") ? INFORMATIONAL : NOTICE,
-                Instant.now(), "FLOW", ELEMENT, data, "flow " + end));
+        sender.send(format.format(
+                end.equals("served") ? INFORMATIONAL : NOTICE, Instant.now(), "FLOW", ELEMENT, data, "flow " + end));
     }
 }
--- a/node/src/main/java/fawnlb/messages/MessagesFront.java
+++ b/node/src/main/java/fawnlb/messages/MessagesFront.java
@@ -26,8 +26,8 @@
 import java.util.UUID;
 
 /**
- * The broker between teams' services: clients of either dialect, under their teams' contracts and budgets,
- * on the same core as the platform's front.
+ * The broker between teams' services: clients of either dialect, under their teams' contracts and budgets, on the same
+ * core as the platform's front.
  */
 public final class MessagesFront implements HttpHandler {
     private static final HttpString REQUEST_ID = new HttpString("request-id");
@@ -43,8 +43,14 @@
     private final Timers timers;
     private final FlowLog log;
 
-    public MessagesFront(Flows flows, BodyReader bodies, OpenIds ids, Settings settings, Contracts contracts, Timers timers,
-                         FlowLog log) {
+    public MessagesFront(
+            Flows flows,
+            BodyReader bodies,
+            OpenIds ids,
+            Settings settings,
+            Contracts contracts,
+            Timers timers,
+            FlowLog log) {
         this.flows = flows;
         this.bodies = bodies;
         this.ids = ids;
@@ -63,7 +69,9 @@
             exchange.getResponseHeaders().put(Headers.ALLOW, "POST");
             new Refusal(exchange, dialect).say(StatusCodes.METHOD_NOT_ALLOWED, "only POST is served here", 0);
         } else {
-            bodies.receive(exchange, (e, body) -> take(e, dialect, body),
+            bodies.receive(
+                    exchange,
+                    (e, body) -> take(e, dialect, body),
                     (e, status, text) -> new Refusal(e, dialect).say(status, text, 0));
         }
     }
@@ -84,15 +92,19 @@
 
         void say(int status, String text, long retryAfter) {
             exchange.getResponseHeaders().put(REQUEST_ID, record.id());
-            ClientExchange.write(exchange, new Replies.Reply(status, "application/json",
-                    ErrorBody.write(record.dialect(), status, text)), retryAfter);
+            ClientExchange.write(
+                    exchange,
+                    new Replies.Reply(status, "application/json", ErrorBody.write(record.dialect(), status, text)),
+                    retryAfter);
             log.write(record, "rejected", status, null, null, timers.now());
         }
     }
 
     private static String requestId(HttpServerExchange exchange) {
         String given = exchange.getRequestHeaders().getFirst("X-Request-Id");
-        return given != null && given.matches("[!-~]{1,128}") ? given : UUID.randomUUID().toString();
+        return given != null && given.matches("[!-~]{1,128}")
+                ? given
+                : UUID.randomUUID().toString();
     }
 
     private void take(HttpServerExchange exchange, Dialect dialect, byte[] body) {
@@ -129,8 +141,16 @@
             return;
         }
         exchange.getResponseHeaders().put(REQUEST_ID, record.id());
-        serve(exchange, ask, new BrokerReplies(record, prompt.stream(), tally, log, timers,
-                taken -> contract.budget().settle(bookedAt, wanted, taken < 0 ? wanted : taken)));
+        serve(
+                exchange,
+                ask,
+                new BrokerReplies(
+                        record,
+                        prompt.stream(),
+                        tally,
+                        log,
+                        timers,
+                        taken -> contract.budget().settle(bookedAt, wanted, taken < 0 ? wanted : taken)));
     }
 
     /** Whether the team's contract allows the request at all; if not, it has been refused. */
@@ -161,11 +181,20 @@
     private static String key(HttpServerExchange exchange) {
         String key = exchange.getRequestHeaders().getFirst("x-api-key");
         String bearer = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
-        return key != null ? key : bearer != null && bearer.startsWith("Bearer ") ? bearer.substring(7).trim() : null;
+        return key != null
+                ? key
+                : bearer != null && bearer.startsWith("Bearer ")
+                        ? bearer.substring(7).trim()
+                        : null;
     }
 
-    private Ask ask(HttpServerExchange exchange, Contract contract, Prompt prompt, FlowRecord record,
-                    Parcel.Tally tally, byte[] body) {
+    private Ask ask(
+            HttpServerExchange exchange,
+            Contract contract,
+            Prompt prompt,
+            FlowRecord record,
+            Parcel.Tally tally,
+            byte[] body) {
         String given = exchange.getRequestHeaders().getFirst("X-Class");
         String requestClass = given == null ? contract.classes().get(0) : given;
         record.asked(requestClass, prompt.model());
@@ -175,13 +204,27 @@
         }
         Dialect other = record.dialect() == Dialect.CHAT ? Dialect.MESSAGES : Dialect.CHAT;
         String query = exchange.getQueryString();
-        Parcel parcel = new Parcel(record.dialect(), record.dialect().path() + (query.isEmpty() ? "" : '?' + query),
-                record.id(), Heads.one(exchange, Parcel.IDEMPOTENCY_KEY), prompt.stream(), body, prompt.write(other), tally);
+        Parcel parcel = new Parcel(
+                record.dialect(),
+                record.dialect().path() + (query.isEmpty() ? "" : '?' + query),
+                record.id(),
+                Heads.one(exchange, Parcel.IDEMPOTENCY_KEY),
+                prompt.stream(),
+                body,
+                prompt.write(other),
+                tally);
         String session = exchange.getRequestHeaders().getFirst("X-Key");
-        return new Ask(type, settings.names().tenants().indexOf(contract.tenant()),
-                Keys.of(session != null ? session : prompt.user()), Keys.of(prompt.system()),
-                patience(exchange, contract), prompt.promptTokens(), (prompt.system().length() + 3) / 4,
-                prompt.maxTokens(), false, parcel);
+        return new Ask(
+                type,
+                settings.names().tenants().indexOf(contract.tenant()),
+                Keys.of(session != null ? session : prompt.user()),
+                Keys.of(prompt.system()),
+                patience(exchange, contract),
+                prompt.promptTokens(),
+                (prompt.system().length() + 3) / 4,
+                prompt.maxTokens(),
+                false,
+                parcel);
     }
 
     /** The contract's deadline, or the client's own if that is sooner. */
--- a/node/src/main/java/fawnlb/metrics/Invariant.java
+++ b/node/src/main/java/fawnlb/metrics/Invariant.java
@@ -6,9 +6,9 @@
 import java.util.logging.Logger;
 
 /**
- * What must hold at every moment, whatever clients, backends and discovery do. Each is checked where it would be broken, by facts
- * of that place and not by those on which the step was decided. A violation is counted and logged, and the step is not taken where
- * it can still be left out.
+ * What must hold at every moment, whatever clients, backends and discovery do. Each is checked where it would be
+ * broken, by facts of that place and not by those on which the step was decided. A violation is counted and logged, and
+ * the step is not taken where it can still be left out.
  */
 public enum Invariant {
     /** A request gets one final answer. */
--- a/node/src/main/java/fawnlb/metrics/Metrics.java
+++ b/node/src/main/java/fawnlb/metrics/Metrics.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * The process's counters, by metric and by the value of its one label. Labels are constants of enums or other words of the program,
- * never anything that came from outside, so that there are few.
+ * The process's counters, by metric and by the value of its one label. Labels are constants of enums or other words of
+ * the program, never anything that came from outside, so that there are few.
  */
 public final class Metrics {
     /** What is counted; the label says how or why. */
@@ -41,11 +41,11 @@
         }
     }
 
-    private record Key(Metric metric, String label) { }
+    private record Key(Metric metric, String label) {}
 
     private static final Map<Key, LongAdder> COUNTERS = new ConcurrentHashMap<>();
 
-    private Metrics() { }
+    private Metrics() {}
 
     /** Counts one more. */
     public static void count(Metric metric, String label) {
@@ -65,24 +65,31 @@
 
     /** How often a metric was counted, all labels together. */
     public static long total(Metric metric) {
-        return COUNTERS.entrySet().stream().filter(entry -> entry.getKey().metric() == metric).mapToLong(entry -> entry.getValue().sum()).sum();
+        return COUNTERS.entrySet().stream()
+                .filter(entry -> entry.getKey().metric() == metric)
+                .mapToLong(entry -> entry.getValue().sum())
+                .sum();
     }
 
     /** All counters in Prometheus's text format, in the order of their names. */
     public static String text() {
         Map<String, Long> lines = new TreeMap<>();
-        COUNTERS.forEach((key, counter) -> lines.put(key.metric().exported + '{' + key.metric().label + "=\"" + key.label() + "\"}", counter.sum()));
+        COUNTERS.forEach((key, counter) -> lines.put(
+                key.metric().exported + '{' + key.metric().label + "=\"" + key.label() + "\"}", counter.sum()));
         StringBuilder text = new StringBuilder();
-        lines.forEach((name, value) -> text.append(name).append(' ').append(value).append('\n'));
+        lines.forEach(
+                (name, value) -> text.append(name).append(' ').append(value).append('\n'));
         return text.toString();
     }
 
     /** One line of all that was counted, for the log. */
     public static String summary() {
         Map<String, Long> parts = new TreeMap<>();
-        COUNTERS.forEach((key, counter) -> parts.put(key.metric().name().toLowerCase(Locale.ROOT) + '.' + key.label(), counter.sum()));
+        COUNTERS.forEach((key, counter) ->
+                parts.put(key.metric().name().toLowerCase(Locale.ROOT) + '.' + key.label(), counter.sum()));
         StringBuilder line = new StringBuilder();
-        parts.forEach((name, value) -> line.append(line.isEmpty() ? "" : ", ").append(name).append(' ').append(value));
+        parts.forEach((name, value) ->
+                line.append(line.isEmpty() ? "" : ", ").append(name).append(' ').append(value));
         return line.toString();
     }
 }
--- a/node/src/main/java/fawnlb/platform/AskReader.java
+++ b/node/src/main/java/fawnlb/platform/AskReader.java
@@ -21,11 +21,20 @@
             throw new IllegalArgumentException("X-Class names no class of this deployment");
         }
         String wait = header.apply("X-Deadline-Ms");
-        long patience = wait == null ? settings.classes().get(type).deadline() : 1_000_000 * whole("X-Deadline-Ms", wait);
+        long patience =
+                wait == null ? settings.classes().get(type).deadline() : 1_000_000 * whole("X-Deadline-Ms", wait);
         Map<String, String> extras = Extras.parse(header.apply("X-Extras"));
-        return new Ask(type, settings.names().tenants().indexOf(word(header.apply("X-Tenant"))),
-                Keys.of(header.apply("X-Key")), Keys.of(extras.get("prefix")), patience, length(extras, "prompt_len"),
-                length(extras, "prefix_len"), length(extras, "max_out"), header.apply("X-Retry") != null, parcel);
+        return new Ask(
+                type,
+                settings.names().tenants().indexOf(word(header.apply("X-Tenant"))),
+                Keys.of(header.apply("X-Key")),
+                Keys.of(extras.get("prefix")),
+                patience,
+                length(extras, "prompt_len"),
+                length(extras, "prefix_len"),
+                length(extras, "max_out"),
+                header.apply("X-Retry") != null,
+                parcel);
     }
 
     /** A name in the settings has no spaces or commas. */
--- a/node/src/main/java/fawnlb/platform/Extras.java
+++ b/node/src/main/java/fawnlb/platform/Extras.java
@@ -5,7 +5,7 @@
 
 /** The entries of an {@code X-Extras} header: {@code name=value, name=value}. */
 final class Extras {
-    private Extras() { }
+    private Extras() {}
 
     static Map<String, String> parse(String text) {
         Map<String, String> out = new HashMap<>();
--- a/node/src/main/java/fawnlb/platform/PlatformFront.java
+++ b/node/src/main/java/fawnlb/platform/PlatformFront.java
@@ -40,7 +40,10 @@
         this.mixed = mixed;
     }
 
-    /** Discovery has answered or failed: until then the node does not know where to send, and others that do are better asked. */
+    /**
+     * Discovery has answered or failed: until then the node does not know where to send, and others that do are better
+     * asked.
+     */
     public void heard() {
         heard = true;
     }
@@ -53,8 +56,11 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         switch (exchange.getRequestPath()) {
-            case "/health/ready" -> text(exchange, heard && !draining ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE,
-                    draining ? "draining" : heard ? "ready" : "waiting for discovery");
+            case "/health/ready" ->
+                text(
+                        exchange,
+                        heard && !draining ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE,
+                        draining ? "draining" : heard ? "ready" : "waiting for discovery");
             case "/v1/chat/completions" -> {
                 if (exchange.getRequestMethod().equals(Methods.POST)) {
                     bodies.receive(exchange, this::take, PlatformFront::text);
@@ -77,8 +83,17 @@
                 throw new IllegalArgumentException("the request has no body");
             }
             byte[] translated = mixed ? Prompt.read(Dialect.CHAT, body).write(Dialect.MESSAGES) : null;
-            ask = asks.read(name -> Heads.one(exchange, name),
-                    new Parcel(Dialect.CHAT, path(exchange), id, Heads.one(exchange, Parcel.IDEMPOTENCY_KEY), true, body, translated, tally));
+            ask = asks.read(
+                    name -> Heads.one(exchange, name),
+                    new Parcel(
+                            Dialect.CHAT,
+                            path(exchange),
+                            id,
+                            Heads.one(exchange, Parcel.IDEMPOTENCY_KEY),
+                            true,
+                            body,
+                            translated,
+                            tally));
         } catch (IllegalArgumentException | Prompt.Bad e) {
             text(exchange, StatusCodes.BAD_REQUEST, e.getMessage());
             return;
@@ -87,8 +102,8 @@
             text(exchange, StatusCodes.CONFLICT, "X-Request-Id is that of an open request");
             return;
         }
-        ClientExchange client = new ClientExchange(exchange, new Mailbox(exchange.getIoThread(), MAILBOX),
-                new PlatformReplies(tally));
+        ClientExchange client =
+                new ClientExchange(exchange, new Mailbox(exchange.getIoThread(), MAILBOX), new PlatformReplies(tally));
         Flows.Ticket ticket = flows.take(ask, client);
         if (ticket == null) {
             client.refused(null, NO_ROOM_RETRY);
--- a/node/src/main/java/fawnlb/policy/Choice.java
+++ b/node/src/main/java/fawnlb/policy/Choice.java
@@ -16,10 +16,10 @@
 /**
  * All decisions of one router. The interface (settings, events, actions) is decision.Balancer.
  *
- * <p>The ordinary path is bounded-load consistent hashing: a request's prefix, else its session, is hashed
- * onto a ring of replicas and sent to the first one clockwise whose count of this router's own attempts is
- * below the cap. What departs from that stands in the section on exceptions, each with what it guards
- * against. A Choice has no clock, no threads and no state but its own.
+ * <p>The ordinary path is bounded-load consistent hashing: a request's prefix, else its session, is hashed onto a ring
+ * of replicas and sent to the first one clockwise whose count of this router's own attempts is below the cap. What
+ * departs from that stands in the section on exceptions, each with what it guards against. A Choice has no clock, no
+ * threads and no state but its own.
  */
 public final class Choice implements Balancer {
 
@@ -27,6 +27,7 @@
 
     /** The cap is a replica's even part of the load times CAP_NUM / CAP_DEN, that is 1.25. */
     static final int CAP_NUM = 5;
+
     static final int CAP_DEN = 4;
 
     private static final long SECOND = 1_000_000_000L;
@@ -46,8 +47,8 @@
         this.typicalStream = new double[settings.classes().size()];
         this.streamsSeen = new int[settings.classes().size()];
         this.random = new SplittableRandom(mix(seed));
-        this.subscription = new SubscriptionSchedule(settings.routers(), settings.rules().askWithin(),
-                random::nextDouble);
+        this.subscription =
+                new SubscriptionSchedule(settings.routers(), settings.rules().askWithin(), random::nextDouble);
         this.retryBurst = this.retryCredit = Math.max(1, RETRY_BURST / Math.max(1, settings.routers()));
     }
 
@@ -106,6 +107,7 @@
     private final Map<Long, Node> nodes = new HashMap<>();
     /** Those that are ready, and a place for a figure of each. */
     private final List<Node> readyNodes = new ArrayList<>();
+
     private double[] figures = new double[0];
     private int ready;
     private int cold;
@@ -243,8 +245,10 @@
         return near != null ? near : walk(task, false);
     }
 
-    /** Walks clockwise to the first replica that may take the task and is below the cap, else to the first
-     *  that may take it; null if none. Near: only replicas of this router's zone are met and counted. */
+    /**
+     * Walks clockwise to the first replica that may take the task and is below the cap, else to the first that may take
+     * it; null if none. Near: only replicas of this router's zone are met and counted.
+     */
     private Node walk(Task task, boolean near) {
         if (ring.size() == 0) {
             return null;
@@ -286,20 +290,21 @@
     // ---- Exceptions -----------------------------------------------------------------------------------
 
     /**
-     * Quiet router: at a cap of one, a second request for a replica would leave its kept beginning for a
-     * neighbour that other routers pick at the same moment. So the cap is never below this.
+     * Quiet router: at a cap of one, a second request for a replica would leave its kept beginning for a neighbour that
+     * other routers pick at the same moment. So the cap is never below this.
      */
     static final int QUIET_CAP = 2;
 
     /**
-     * Hot prefix: one prefix that draws more than the cap lets a replica carry would be spilled by every
-     * router to the same neighbours. While its part of this router's last requests is above PLACE_SHARE of a
-     * replica's part, its sessions are dealt over so many places on the ring that each stays below that; each
-     * place reads the prefix once. Places lump by chance: from SPREAD_LIMIT of the replicas on each session
-     * is one. A router believes a part seen in PRIOR_REQUESTS requests by half; that does not grow with the
-     * fleet, since what a router sees doesn't, and all would leave a hot prefix whole.
+     * Hot prefix: one prefix that draws more than the cap lets a replica carry would be spilled by every router to the
+     * same neighbours. While its part of this router's last requests is above PLACE_SHARE of a replica's part, its
+     * sessions are dealt over so many places on the ring that each stays below that; each place reads the prefix once.
+     * Places lump by chance: from SPREAD_LIMIT of the replicas on each session is one. A router believes a part seen in
+     * PRIOR_REQUESTS requests by half; that does not grow with the fleet, since what a router sees doesn't, and all
+     * would leave a hot prefix whole.
      */
     static final double PLACE_SHARE = 0.25;
+
     static final double PRIOR_REQUESTS = 16;
     static final double SPREAD_LIMIT = 0.25;
     static final int RECENT_PER_REPLICA = 8;
@@ -308,8 +313,7 @@
     private long ringKey(Task task, int replicas) {
         double seen = recent.size();
         boolean prefix = task.key != task.session && recent.knows(task.key);
-        double need = !prefix ? 1
-                : recent.part(task.key) * replicas / PLACE_SHARE * seen / (seen + PRIOR_REQUESTS);
+        double need = !prefix ? 1 : recent.part(task.key) * replicas / PLACE_SHARE * seen / (seen + PRIOR_REQUESTS);
         long places = 1;
         while (places < need) {
             places *= 2;
@@ -320,23 +324,26 @@
     }
 
     /**
-     * Near keys: where the site counts a crossing of zones for more than wasted work, a part of the keys
-     * stays in the router's own zone. The part is small enough that a zone which has all of the clients is
-     * loaded by no more than half above the mean. Always on at such sites while there are several zones.
+     * Near keys: where the site counts a crossing of zones for more than wasted work, a part of the keys stays in the
+     * router's own zone. The part is small enough that a zone which has all of the clients is loaded by no more than
+     * half above the mean. Always on at such sites while there are several zones.
      */
     static final double ZONE_EXCESS = 0.5;
 
     private boolean keepsNear(Task task) {
-        return settings.costs().crossZone() > settings.costs().waste() && nearReady > 0 && zones > 1
+        return settings.costs().crossZone() > settings.costs().waste()
+                && nearReady > 0
+                && zones > 1
                 && (mix(~task.session) >>> 11) * 0x1p-53 < ZONE_EXCESS / (zones - 1);
     }
 
     /**
-     * Spill guard: when many requests find their first replica at the cap, no replica is hot but all are
-     * full, and spilling only trades kept prompts for unread ones. While more than SPILL_PART of the last
-     * requests would leave their first replica, the cap widens step by step; it narrows again below that.
+     * Spill guard: when many requests find their first replica at the cap, no replica is hot but all are full, and
+     * spilling only trades kept prompts for unread ones. While more than SPILL_PART of the last requests would leave
+     * their first replica, the cap widens step by step; it narrows again below that.
      */
     static final double SPILL_PART = 0.1;
+
     static final long NARROW = 1000;
     static final long WIDEST = 4 * NARROW;
     private double spilled;
@@ -348,15 +355,15 @@
     }
 
     /**
-     * Slow replica: a count says nothing of how fast it shrinks, and a replica that has slowed down or fallen
-     * silent would hold as many requests as the others and answer them late. While its first tokens take more
-     * than LAG_OUTLIER times as long as usual, or it has said nothing for that long to those that wait, its
-     * cap shrinks in proportion, to one at least; it ends with the first tokens that come as usual again. So
-     * it does while a replica is cold.
+     * Slow replica: a count says nothing of how fast it shrinks, and a replica that has slowed down or fallen silent
+     * would hold as many requests as the others and answer them late. While its first tokens take more than LAG_OUTLIER
+     * times as long as usual, or it has said nothing for that long to those that wait, its cap shrinks in proportion,
+     * to one at least; it ends with the first tokens that come as usual again. So it does while a replica is cold.
      */
     static final double LAG_OUTLIER = 2;
     /** No lag below this part of a request's aim matters, and no difference of streams that are shorter. */
     static final double MIN_LAG = 0.05;
+
     private double usualLag;
 
     private long capOf(Node node, long limit, Task task) {
@@ -368,8 +375,10 @@
         return Math.max(1, (long) (limit * part));
     }
 
-    /** A replica slower than the quickest kind keeps so many of its keys, the same ones at every router. Held
-     *  against the middle one, a slower kind that has most of the replicas would keep them all. */
+    /**
+     * A replica slower than the quickest kind keeps so many of its keys, the same ones at every router. Held against
+     * the middle one, a slower kind that has most of the replicas would keep them all.
+     */
     private boolean keeps(long key, Node node, double quickest) {
         return (mix(key ^ mix(node.id)) >>> 11) * 0x1p-53 < quickest / paceOf(node);
     }
@@ -396,12 +405,13 @@
     }
 
     /**
-     * Release: while replicas drain one after another, those that started first are the next, and a stream
-     * that has only begun by then is cut when its replica goes. From the second drain within RELEASE_WINDOW
-     * on, the cap of the NEXT_TO_DRAIN oldest is this part of the others'; it ends so long after the last
-     * drain, and while streams take MAX_SLOWDOWN times as long as at best: then every replica is needed.
+     * Release: while replicas drain one after another, those that started first are the next, and a stream that has
+     * only begun by then is cut when its replica goes. From the second drain within RELEASE_WINDOW on, the cap of the
+     * NEXT_TO_DRAIN oldest is this part of the others'; it ends so long after the last drain, and while streams take
+     * MAX_SLOWDOWN times as long as at best: then every replica is needed.
      */
     static final long RELEASE_WINDOW = 10 * SECOND;
+
     static final int NEXT_TO_DRAIN = 3;
     static final double NEXT_TO_DRAIN_CAP = 0.3;
     static final double MAX_SLOWDOWN = 1.6;
@@ -416,7 +426,8 @@
 
     /** Where many started together, none of them is known to be the next. */
     private void findNextToDrain() {
-        long[] starts = readyNodes.stream().mapToLong(node -> node.readyAt).sorted().toArray();
+        long[] starts =
+                readyNodes.stream().mapToLong(node -> node.readyAt).sorted().toArray();
         drainsNextBefore = starts.length >= 2 * NEXT_TO_DRAIN ? starts[NEXT_TO_DRAIN] : 0;
     }
 
@@ -425,10 +436,10 @@
     }
 
     /**
-     * Overload: while first tokens come late, or attempts end full or timed out, more often than
-     * OVERLOAD_THRESHOLD at half of the replicas, that part of the sessions is refused on arrival, in the
-     * order of their hash: the same ones at every router, so that the others keep their prompts.
-     * A few replicas that are slow or out of reach are no overload: the others can serve what they can't.
+     * Overload: while first tokens come late, or attempts end full or timed out, more often than OVERLOAD_THRESHOLD at
+     * half of the replicas, that part of the sessions is refused on arrival, in the order of their hash: the same ones
+     * at every router, so that the others keep their prompts. A few replicas that are slow or out of reach are no
+     * overload: the others can serve what they can't.
      */
     static final double OVERLOAD_THRESHOLD = 0.1;
     /** Some sessions always pass: with none, no answer could show that the trouble is over. */
@@ -461,9 +472,9 @@
     }
 
     /**
-     * Fairness: when sessions are refused, a tenant that sends more than its share of this router's requests
-     * bears more of it, and one that sends less bears less, by the square of the ratio. It acts only while
-     * there is refusing to do, and only where tenants have shares.
+     * Fairness: when sessions are refused, a tenant that sends more than its share of this router's requests bears more
+     * of it, and one that sends less bears less, by the square of the ratio. It acts only while there is refusing to
+     * do, and only where tenants have shares.
      */
     private final double[] sent;
 
@@ -474,7 +485,9 @@
     }
 
     private double claim(int tenant) {
-        if (tenant < 0 || tenant >= sent.length || settings.tenants().get(tenant).share() <= 0) {
+        if (tenant < 0
+                || tenant >= sent.length
+                || settings.tenants().get(tenant).share() <= 0) {
             return 1;
         }
         double ratio = sent[tenant] / settings.tenants().get(tenant).share();
@@ -482,21 +495,25 @@
     }
 
     /**
-     * Slow streams: with too many answers running, or kept prompts lost, tokens fall below their pace while
-     * first tokens are still in time, and the state feeds itself. The length of an answer is not told, so
-     * streams by the tokens that they may have are held against the middle replica's own best stretch; above
-     * SLOW_STREAMS times that, so many sessions are refused as bring the streams back to it.
+     * Slow streams: with too many answers running, or kept prompts lost, tokens fall below their pace while first
+     * tokens are still in time, and the state feeds itself. The length of an answer is not told, so streams by the
+     * tokens that they may have are held against the middle replica's own best stretch; above SLOW_STREAMS times that,
+     * so many sessions are refused as bring the streams back to it.
      */
     static final double SLOW_STREAMS = 2.2;
+
     private static final int STREAM_SAMPLES = 64;
     private static final double MAX_STREAM_RATIO = 16;
     private final double[] typicalStream;
     private final int[] streamsSeen;
     private double bestPace = 1;
 
-    /** A router meets one of many replicas a few times in ten seconds: what it has seen of others of that
-     *  kind counts as KIND_PRIOR_STREAMS streams of its own. */
+    /**
+     * A router meets one of many replicas a few times in ten seconds: what it has seen of others of that kind counts as
+     * KIND_PRIOR_STREAMS streams of its own.
+     */
     static final int KIND_PRIOR_STREAMS = 8;
+
     private final Map<Integer, KindPace> kindPaces = new HashMap<>();
     /** Kinds that have a ready replica. */
     private final Set<KindPace> readyKinds = new LinkedHashSet<>();
@@ -510,8 +527,7 @@
     private double paceOf(Node node) {
         int own = Math.min(node.streams, 16);
         double all = own + KIND_PRIOR_STREAMS;
-        return node.kind.streams == 0 ? node.pace
-                : (own * node.pace + KIND_PRIOR_STREAMS * node.kind.pace) / all;
+        return node.kind.streams == 0 ? node.pace : (own * node.pace + KIND_PRIOR_STREAMS * node.kind.pace) / all;
     }
 
     private void judgePace(Node node, Task task, double took) {
@@ -534,12 +550,13 @@
     }
 
     /**
-     * Cold replica: the budget of a warming replica is for all routers together. From its start until
-     * `cold` later this router sends it no more than the replica's present part of a warm replica's mean
-     * work, all prompts counted as unread, and begins at a moment of its own so that many quiet routers
-     * don't each send one at once: at any until it is warm where no load tells its part, unless all are cold.
+     * Cold replica: the budget of a warming replica is for all routers together. From its start until `cold` later this
+     * router sends it no more than the replica's present part of a warm replica's mean work, all prompts counted as
+     * unread, and begins at a moment of its own so that many quiet routers don't each send one at once: at any until it
+     * is warm where no load tells its part, unless all are cold.
      */
     private final List<Node> coldNodes = new ArrayList<>();
+
     private long nextWarm = Long.MAX_VALUE;
     private double workRate;
     private long workRateAt;
@@ -558,7 +575,8 @@
         node.cold = isCold || node.cold;
         if (isCold) {
             nextWarm = Math.min(nextWarm, readyAt + settings.rules().cold());
-            double first = meanCost > 0 ? coldGap(node, meanCost) : settings.rules().cold();
+            double first =
+                    meanCost > 0 ? coldGap(node, meanCost) : settings.rules().cold();
             node.coldNextAt = now + (long) (random.nextDouble() * first);
         }
     }
@@ -668,9 +686,12 @@
     private final double retryBurst;
     private double retryCredit;
 
-    /** Retry budget: one further attempt for every five requests, and so many at once by all routers, one by
-     *  each at least. It always holds, but for attempts that never met a replica and cost none any work. */
+    /**
+     * Retry budget: one further attempt for every five requests, and so many at once by all routers, one by each at
+     * least. It always holds, but for attempts that never met a replica and cost none any work.
+     */
     static final double RETRY_PART = 0.2;
+
     static final double RETRY_BURST = 10;
 
     private void arrived(Request request) {
@@ -713,16 +734,16 @@
     }
 
     /**
-     * Silent replica: one that vanished or was cut off answers nothing, and waiting for it to the end would
-     * cost the request. A first attempt that may be repeated is stopped while there is time to be in time
-     * elsewhere; not where first tokens take about so long now, nor without credit for a retry.
+     * Silent replica: one that vanished or was cut off answers nothing, and waiting for it to the end would cost the
+     * request. A first attempt that may be repeated is stopped while there is time to be in time elsewhere; not where
+     * first tokens take about so long now, nor without credit for a retry.
      */
     static final double FIRST_TOKEN_TIMEOUT = 0.5;
+
     static final double FIRST_TOKEN_OUTLIER = 6;
 
     private long stopAt(Task task) {
-        boolean early = task.type.effect() == Effect.SAFE && task.attempts.size() == 1
-                && retryCredit >= 1 && ready > 1;
+        boolean early = task.type.effect() == Effect.SAFE && task.attempts.size() == 1 && retryCredit >= 1 && ready > 1;
         double patience = Math.max(FIRST_TOKEN_TIMEOUT * task.aim, FIRST_TOKEN_OUTLIER * usualLag);
         return early && patience < task.lastUse - now ? now + (long) patience : task.lastUse;
     }
@@ -815,7 +836,8 @@
     /** All attempts so far have failed: one more within the rules and the budget, else the final answer. */
     private void again(Task task, Outcome outcome) {
         boolean free = outcome == Outcome.CONNECT_FAILED;
-        boolean budget = (free || retryCredit >= 1) && task.attempts.size() < settings.limits().attempts();
+        boolean budget = (free || retryCredit >= 1)
+                && task.attempts.size() < settings.limits().attempts();
         if (budget && outcome != Outcome.CANCELLED && now < task.lastUse) {
             retryCredit -= free ? 0 : 1;
             place(task);
@@ -841,14 +863,19 @@
     }
 
     private static Attempt firstThatMayHaveRun(Task task) {
-        return task.attempts.stream().filter(attempt -> attempt.mayHaveRun).findFirst().orElse(null);
+        return task.attempts.stream()
+                .filter(attempt -> attempt.mayHaveRun)
+                .findFirst()
+                .orElse(null);
     }
 
     /** The final answer when there is nothing more to try: a refusal where the rules let it be one. */
     private void giveUp(Task task) {
         boolean refusable = task.type.refusable(firstThatMayHaveRun(task) != null);
-        sink.act(refusable ? new Refuse(task.request.id(), settings.limits().maxRetryAfter())
-                : new Fail(task.request.id()));
+        sink.act(
+                refusable
+                        ? new Refuse(task.request.id(), settings.limits().maxRetryAfter())
+                        : new Fail(task.request.id()));
         close(task);
     }
 
@@ -878,15 +905,17 @@
     }
 
     /**
-     * Failing replica: quick errors would empty its count and draw ever more keys. One that fails to connect,
-     * or twice in a row otherwise, is walked past for a second, doubled with each further failure up to
-     * sixteen; the first answer ends it. After a stall in mid-answer it is at once, until an answer is whole.
+     * Failing replica: quick errors would empty its count and draw ever more keys. One that fails to connect, or twice
+     * in a row otherwise, is walked past for a second, doubled with each further failure up to sixteen; the first
+     * answer ends it. After a stall in mid-answer it is at once, until an answer is whole.
      */
     private void judge(Node node, Outcome outcome, boolean streaming) {
         if (outcome == Outcome.SERVED) {
             answered(node, true);
-        } else if (outcome == Outcome.ERROR || outcome == Outcome.RESET
-                || outcome == Outcome.CONNECT_FAILED || outcome == Outcome.STALLED && streaming) {
+        } else if (outcome == Outcome.ERROR
+                || outcome == Outcome.RESET
+                || outcome == Outcome.CONNECT_FAILED
+                || outcome == Outcome.STALLED && streaming) {
             node.stalls += outcome == Outcome.STALLED ? 2 : 0;
             node.failures = Math.max(node.failures + 1, node.stalls);
             boolean counts = node.failures == 1 || lostCount >= LOST_ZONE_FAILURES;
@@ -902,11 +931,11 @@
     }
 
     /**
-     * Lost zone: its replicas would each have to fail to connect once, at every router. When
-     * LOST_ZONE_FAILURES of them have and none has answered since, all are walked past but for a try a
-     * second; an answer ends it.
+     * Lost zone: its replicas would each have to fail to connect once, at every router. When LOST_ZONE_FAILURES of them
+     * have and none has answered since, all are walked past but for a try a second; an answer ends it.
      */
     static final int LOST_ZONE_FAILURES = 3;
+
     private int lostZone = -1;
     private int lostCount;
     private long lostUntil;
--- a/node/src/main/java/fawnlb/policy/HashRing.java
+++ b/node/src/main/java/fawnlb/policy/HashRing.java
@@ -9,26 +9,28 @@
 import java.util.function.ToLongFunction;
 
 /**
- * A consistent-hash ring: each server has {@link #POINTS} points on it, and a key belongs to the first point
- * clockwise.
+ * A consistent-hash ring: each server has {@link #POINTS} points on it, and a key belongs to the first point clockwise.
  *
- * <p>The points stand in one sorted array, a server's number in the low bits of each, so that a ring of
- * thousands of servers is a few megabytes without objects. Servers join and leave by merging or leaving out
- * their own points in one pass, without sorting the others. Where two points agree in all bits but those of
- * the number, which 640,000 points do once in hundreds of rings, the lower number comes first.
+ * <p>The points stand in one sorted array, a server's number in the low bits of each, so that a ring of thousands of
+ * servers is a few megabytes without objects. Servers join and leave by merging or leaving out their own points in one
+ * pass, without sorting the others. Where two points agree in all bits but those of the number, which 640,000 points do
+ * once in hundreds of rings, the lower number comes first.
  */
 final class HashRing<T> {
     /** Points of a server on the ring. */
     static final int POINTS = 200;
     /** Enough for more servers than the longest list can name. */
     private static final int NUMBER_BITS = 17;
+
     private static final long NUMBER_MASK = (1L << NUMBER_BITS) - 1;
 
     /** Points in ascending order, and behind {@link #size} room for more. */
     private long[] points = new long[0];
+
     private int size;
     /** Servers by their number; null where a number is free. */
     private final List<T> servers = new ArrayList<>();
+
     private final Deque<Integer> freeNumbers = new ArrayDeque<>();
 
     /** How many points there are. */
--- a/node/src/main/java/fawnlb/policy/RecentRequests.java
+++ b/node/src/main/java/fawnlb/policy/RecentRequests.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What the last requests asked for, by key: how much of their work each key drew. Only keys and figures are
- * kept, since a router before a large fleet remembers tens of thousands of requests.
+ * What the last requests asked for, by key: how much of their work each key drew. Only keys and figures are kept, since
+ * a router before a large fleet remembers tens of thousands of requests.
  */
 final class RecentRequests {
     private static final int FIRST_CAPACITY = 128;
@@ -20,6 +20,7 @@
     private double[] works = new double[FIRST_CAPACITY];
     /** Where the oldest stands in both arrays, which are used round and round. */
     private int oldest;
+
     private int size;
     private final Map<Long, Sum> sums = new HashMap<>();
     private double totalWork;
--- a/node/src/main/java/fawnlb/policy/Selection.java
+++ b/node/src/main/java/fawnlb/policy/Selection.java
@@ -2,7 +2,7 @@
 
 /** The value that stands at a place of an array in ascending order, found without sorting all of it. */
 final class Selection {
-    private Selection() { }
+    private Selection() {}
 
     /** The upper median of the first {@code count} values, which are reordered; {@code count} is above 0. */
     static double upperMedian(double[] values, int count) {
--- a/node/src/main/java/fawnlb/probation/Probation.java
+++ b/node/src/main/java/fawnlb/probation/Probation.java
@@ -18,9 +18,9 @@
 import java.util.stream.Collectors;
 
 /**
- * How far a remembered list is believed until discovery is heard again. Every backend of it counts as cold until it
- * has answered: it may hold a few requests of this node that wait for their first token and no more, and sends to it
- * are so paced by its own answers. Requests that run count for nothing, since they are no new work.
+ * How far a remembered list is believed until discovery is heard again. Every backend of it counts as cold until it has
+ * answered: it may hold a few requests of this node that wait for their first token and no more, and sends to it are so
+ * paced by its own answers. Requests that run count for nothing, since they are no new work.
  *
  * <pre>
  *   REMEMBERED --its turn--> PROVING --answers, and time to warm up--> PROVEN
@@ -32,14 +32,22 @@
  * </pre>
  *
  * <p>The weight of a memory halves with each half-life of its age. The sum of the weights is how many backends are
- * expected to be there still, and so many may be tried at once, the latest heard of first. What discovery says wins
- * at once.
+ * expected to be there still, and so many may be tried at once, the latest heard of first. What discovery says wins at
+ * once.
  */
 public final class Probation implements View {
     /** A backend on probation. */
-    public enum State { REMEMBERED, PROVING, PROVEN, DOUBTED }
+    public enum State {
+        REMEMBERED,
+        PROVING,
+        PROVEN,
+        DOUBTED
+    }
 
-    /** How long a node waits for its first answer of a discovery that refuses its calls since it has too many, in nanoseconds. */
+    /**
+     * How long a node waits for its first answer of a discovery that refuses its calls since it has too many, in
+     * nanoseconds.
+     */
     public static final long MAX_CROWDED = 4_000_000_000L;
     /** The weight of a memory whose age is not known. */
     private static final double UNKNOWN_AGE = 0.5;
@@ -56,10 +64,11 @@
     private Listed empty;
     private long emptyUntil = NEVER;
     /**
-     * Discovery has been asked and has neither answered nor failed. Until then no remembered backend is tried: the address of
-     * one may belong to another by now, and a node may send only to what its list has named.
+     * Discovery has been asked and has neither answered nor failed. Until then no remembered backend is tried: the
+     * address of one may belong to another by now, and a node may send only to what its list has named.
      */
     private boolean awaitsWord;
+
     private long awaitsFrom;
     private long admitAt = NEVER;
 
@@ -71,8 +80,16 @@
      * backend is left alone after a failure, doubled with each up to the longest; {@code hold}: how long an empty list
      * is not believed while backends are held, 0 to believe it at once.
      */
-    public record Rules(long halfLife, int proofs, long settle, int waiting, int routers, int atOnce, long doubt,
-                        long longestDoubt, long hold) {
+    public record Rules(
+            long halfLife,
+            int proofs,
+            long settle,
+            int waiting,
+            int routers,
+            int atOnce,
+            long doubt,
+            long longestDoubt,
+            long hold) {
         /** This node's part of what all nodes may have waiting at an unproven backend. */
         int part() {
             return Math.max(1, waiting / Math.max(1, routers));
@@ -97,7 +114,9 @@
         }
     }
 
-    /** Heard: when each backend was last listed or answered, in nanoseconds on the host's clock; 0 or absent if unknown. */
+    /**
+     * Heard: when each backend was last listed or answered, in nanoseconds on the host's clock; 0 or absent if unknown.
+     */
     public Probation(Rules rules, long seed, Map<Long, Long> heard, Consumer<String> log) {
         this.rules = rules;
         this.seed = seed;
@@ -153,7 +172,8 @@
         if (none && rules.hold() > 0 && (emptyUntil != NEVER || !discovered && !boxes.isEmpty())) {
             if (emptyUntil == NEVER) {
                 emptyUntil = now + rules.hold();
-                log.accept("discovery lists no target; the remembered ones stay for " + rules.hold() / 1_000_000 + " ms");
+                log.accept(
+                        "discovery lists no target; the remembered ones stay for " + rules.hold() / 1_000_000 + " ms");
             }
             empty = news;
             // The call has worked, and nothing has changed yet.
@@ -171,12 +191,15 @@
         List<Replica> replicas = new ArrayList<>(news.replicas());
         if (emptyUntil == NEVER) {
             var named = news.replicas().stream().map(Replica::id).collect(Collectors.toSet());
-            boxes.values().stream().map(box -> box.replica).filter(r -> !named.contains(r.id())).forEach(replicas::add);
+            boxes.values().stream()
+                    .map(box -> box.replica)
+                    .filter(r -> !named.contains(r.id()))
+                    .forEach(replicas::add);
         } else {
             // The whole list was empty: what it left out is gone, now that there is another to go to.
             boxes.values().stream().map(box -> box.replica.gone()).forEach(replicas::add);
-            replicas.removeIf(r -> r.phase() == Phase.GONE && news.replicas().stream().anyMatch(n -> n.id() == r.id()
-                    && n.phase() != Phase.GONE));
+            replicas.removeIf(r -> r.phase() == Phase.GONE
+                    && news.replicas().stream().anyMatch(n -> n.id() == r.id() && n.phase() != Phase.GONE));
         }
         believe("discovery is back");
         return new Listed(news.kind(), news.version(), replicas);
@@ -184,8 +207,8 @@
 
     private void believe(String words) {
         if (!discovered && !boxes.isEmpty()) {
-            log.accept(words + "; of the remembered " + boxes.size() + ", " + count(State.PROVEN) + " had proved themselves, "
-                    + count(State.DOUBTED) + " were in doubt");
+            log.accept(words + "; of the remembered " + boxes.size() + ", " + count(State.PROVEN)
+                    + " had proved themselves, " + count(State.DOUBTED) + " were in doubt");
         }
         discovered = true;
         boxes.clear();
@@ -255,7 +278,8 @@
     @Override
     public Listed woken(long now) {
         if (now >= emptyUntil) {
-            List<Replica> left = boxes.values().stream().map(box -> box.replica.gone()).toList();
+            List<Replica> left =
+                    boxes.values().stream().map(box -> box.replica.gone()).toList();
             Listed told = new Listed(ListKind.VIEW, empty.version(), left);
             believe("discovery still lists no target");
             return told;
@@ -268,7 +292,8 @@
         for (Box box : boxes.values()) {
             if (box.state == State.DOUBTED && now >= box.until) {
                 box.state = State.PROVING;
-            } else if (box.state == State.PROVING && box.answers >= rules.proofs()
+            } else if (box.state == State.PROVING
+                    && box.answers >= rules.proofs()
                     && now - box.firstAnswer >= rules.settle()) {
                 box.state = State.PROVEN;
             }
@@ -291,17 +316,26 @@
         }
         admitAt = NEVER;
         int most = Math.max(rules.atOnce(), (int) Math.round(expected));
-        long trying = boxes.values().stream().filter(box -> box.state == State.PROVING && box.answers == 0).count();
-        boxes.values().stream().filter(box -> box.state == State.REMEMBERED)
+        long trying = boxes.values().stream()
+                .filter(box -> box.state == State.PROVING && box.answers == 0)
+                .count();
+        boxes.values().stream()
+                .filter(box -> box.state == State.REMEMBERED)
                 .sorted(Comparator.comparingDouble((Box box) -> -box.weight).thenComparingLong(box -> box.order))
-                .limit(Math.max(0, most - trying)).toList().forEach(box -> box.state = State.PROVING);
+                .limit(Math.max(0, most - trying))
+                .toList()
+                .forEach(box -> box.state = State.PROVING);
     }
 
     // ---- What the next step sees ----------------------------------------------------------------------
 
     private Listed with(Listed news, ListKind kind) {
-        return new Listed(kind, news.version(), news.replicas().stream()
-                .map(replica -> boxes.containsKey(replica.id()) ? show(boxes.get(replica.id())) : replica).toList());
+        return new Listed(
+                kind,
+                news.version(),
+                news.replicas().stream()
+                        .map(replica -> boxes.containsKey(replica.id()) ? show(boxes.get(replica.id())) : replica)
+                        .toList());
     }
 
     private Replica show(Box box) {
@@ -313,8 +347,8 @@
     private int room(Box box) {
         return switch (box.state) {
             case REMEMBERED, DOUBTED -> 0;
-            case PROVING -> box.weight >= FRESH && box.failures == 0 ? rules.part()
-                    : Math.min(rules.part(), 1 + box.answers);
+            case PROVING ->
+                box.weight >= FRESH && box.failures == 0 ? rules.part() : Math.min(rules.part(), 1 + box.answers);
             case PROVEN -> Replica.ALL;
         };
     }
--- a/node/src/main/java/fawnlb/snapshot/Recorder.java
+++ b/node/src/main/java/fawnlb/snapshot/Recorder.java
@@ -21,8 +21,8 @@
 
 /**
  * The actor that remembers the list: it hears every list and every answer, and has them written down. As a view it
- * changes nothing. Its own mailbox runs on the I/O thread; the disk has one of its own on another thread, and gets
- * no second snapshot before it is done with the first, so a slow disk delays nothing but the next snapshot.
+ * changes nothing. Its own mailbox runs on the I/O thread; the disk has one of its own on another thread, and gets no
+ * second snapshot before it is done with the first, so a slow disk delays nothing but the next snapshot.
  */
 public final class Recorder implements View {
     private static final Logger LOG = Logger.getLogger(Recorder.class.getName());
@@ -42,10 +42,10 @@
     private Timers.Timer timer;
 
     /**
-     * How often to write, in nanoseconds. {@code least}: between two snapshots; {@code refresh}: after an answer,
-     * which changes nothing but an age.
+     * How often to write, in nanoseconds. {@code least}: between two snapshots; {@code refresh}: after an answer, which
+     * changes nothing but an age.
      */
-    public record Pace(long least, long refresh) { }
+    public record Pace(long least, long refresh) {}
 
     public Recorder(Mailbox mailbox, Mailbox disk, Timers timers, SnapshotStore store, Pace pace) {
         this.mailbox = mailbox;
@@ -66,7 +66,9 @@
 
     /** Discovery's word. An empty whole list names nobody and is no better to remember than what was there. */
     public void heard(ListKind kind, MemberList list) {
-        if (list != null && kind != ListKind.CACHED && !(list.complete() && list.members().isEmpty())) {
+        if (list != null
+                && kind != ListKind.CACHED
+                && !(list.complete() && list.members().isEmpty())) {
             mailbox.tell(() -> take(list));
         }
     }
@@ -146,22 +148,25 @@
         wantedAt = NEVER;
         writtenAt = timers.now();
         Snapshot snapshot = new Snapshot(writtenAt / MS, revision, List.copyOf(entries.values()));
-        disk.tellOrFail(() -> {
-            String fault = null;
-            try {
-                store.write(snapshot);
-            } catch (IOException | RuntimeException e) {
-                fault = e.toString();
-            }
-            String why = fault;
-            mailbox.tellAlways(() -> written(why));
-        }, () -> mailbox.tellAlways(() -> written("the disk's thread could not take it")));
+        disk.tellOrFail(
+                () -> {
+                    String fault = null;
+                    try {
+                        store.write(snapshot);
+                    } catch (IOException | RuntimeException e) {
+                        fault = e.toString();
+                    }
+                    String why = fault;
+                    mailbox.tellAlways(() -> written(why));
+                },
+                () -> mailbox.tellAlways(() -> written("the disk's thread could not take it")));
     }
 
     private void written(String fault) {
         writing = false;
         if (fault != null && !failed) {
-            LOG.warning("the list is not remembered, trying again every " + pace.refresh() / MS / 1000 + " s: " + fault);
+            LOG.warning(
+                    "the list is not remembered, trying again every " + pace.refresh() / MS / 1000 + " s: " + fault);
         } else if (fault == null && failed) {
             LOG.info("the list is remembered again");
         }
--- a/node/src/main/java/fawnlb/snapshot/Snapshot.java
+++ b/node/src/main/java/fawnlb/snapshot/Snapshot.java
@@ -9,7 +9,9 @@
  */
 public record Snapshot(long savedAt, long revision, List<Entry> entries) {
 
-    /** A backend: when discovery last named it and when it last answered, in milliseconds since the epoch, 0 for never. */
+    /**
+     * A backend: when discovery last named it and when it last answered, in milliseconds since the epoch, 0 for never.
+     */
     public record Entry(Member member, long listedAt, long answeredAt) {
 
         /** The last sign that the backend was there, whoever gave it. */
--- a/node/src/main/java/fawnlb/snapshot/SnapshotCodec.java
+++ b/node/src/main/java/fawnlb/snapshot/SnapshotCodec.java
@@ -16,20 +16,21 @@
 
 /**
  * A snapshot's bytes: the magic {@code FWNL}, a version of two bytes, the body's length in four, the body, and the
- * CRC-32C (RFC 3720, appendix B.4) of all before it in four; numbers are big-endian. The body is CBOR (RFC 8949):
- * a map in which each backend is written as discovery's own form with the two times beside it.
+ * CRC-32C (RFC 3720, appendix B.4) of all before it in four; numbers are big-endian. The body is CBOR (RFC 8949): a map
+ * in which each backend is written as discovery's own form with the two times beside it.
  */
 public final class SnapshotCodec {
     /** Raised when a reader of the former version would misread the file. */
     static final int VERSION = 1;
     /** A list of ten thousand backends takes about 2 MB; what claims more than this is not a list. */
     static final int MAX_BYTES = 16 << 20;
+
     private static final int MAGIC = 0x46574e4c;
     private static final int HEAD = 10;
     private static final int SUM = 4;
     private static final CBORFactory CBOR = new CBORFactory();
 
-    private SnapshotCodec() { }
+    private SnapshotCodec() {}
 
     /** Why bytes are no snapshot; the message is one line. */
     public static final class Damaged extends IOException {
@@ -76,8 +77,10 @@
         int version = in.getShort() & 0xffff;
         int length = in.getInt();
         if (length != file.length - HEAD - SUM) {
-            throw new Damaged(length > file.length - HEAD - SUM && length > 0 ? "truncated: " + file.length + " bytes"
-                    : "altered: its length does not fit");
+            throw new Damaged(
+                    length > file.length - HEAD - SUM && length > 0
+                            ? "truncated: " + file.length + " bytes"
+                            : "altered: its length does not fit");
         }
         if (in.getInt(HEAD + length) != sum(file, HEAD + length)) {
             throw new Damaged("altered: its checksum does not fit");
--- a/node/src/main/java/fawnlb/snapshot/SnapshotStore.java
+++ b/node/src/main/java/fawnlb/snapshot/SnapshotStore.java
@@ -13,8 +13,8 @@
 
 /**
  * Two generations of a snapshot on disk, {@code FILE} and {@code FILE.1}. A new one is written beside them to
- * {@code FILE.tmp} and synced before any name changes, so whatever moment the process or the machine ends at, one
- * whole generation stands under one of the two names. One writer at a time; calls block on the disk.
+ * {@code FILE.tmp} and synced before any name changes, so whatever moment the process or the machine ends at, one whole
+ * generation stands under one of the two names. One writer at a time; calls block on the disk.
  */
 public class SnapshotStore {
     private final Path file;
@@ -27,14 +27,17 @@
         this.temporary = this.file.resolveSibling(this.file.getFileName() + ".tmp");
     }
 
-    /** What was found. {@code snapshot}: null if no generation can be used; {@code faults}: one line for each that can't. */
-    public record Found(Snapshot snapshot, Path from, boolean future, List<String> faults) { }
+    /**
+     * What was found. {@code snapshot}: null if no generation can be used; {@code faults}: one line for each that
+     * can't.
+     */
+    public record Found(Snapshot snapshot, Path from, boolean future, List<String> faults) {}
 
     /** Replaces the older generation. */
     public void write(Snapshot snapshot) throws IOException {
         ByteBuffer bytes = ByteBuffer.wrap(SnapshotCodec.encode(snapshot));
-        try (FileChannel out = FileChannel.open(temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel out = FileChannel.open(
+                temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
@@ -70,7 +73,8 @@
             } catch (NoSuchFileException e) {
                 // A first start has none, and a second start has one.
             } catch (IOException e) {
-                faults.add(path + ": " + String.valueOf(e.getMessage()).lines().findFirst().orElse(e.toString()));
+                faults.add(path + ": "
+                        + String.valueOf(e.getMessage()).lines().findFirst().orElse(e.toString()));
             }
         }
         return new Found(later, from, later != null, faults);
--- a/node/src/main/java/fawnlb/stream/Excess.java
+++ b/node/src/main/java/fawnlb/stream/Excess.java
@@ -5,16 +5,18 @@
  * differs from source to source, the shape of the tail does not, and one source alone shows too little of it. (The
  * index-flood method of hydrology, Dalrymple 1960.)
  *
- * <p>The shape is that of the moment estimator (Dekkers, Einmahl and de Haan, 1989) on the first two moments of the excess,
- * which tells a bounded tail from a light and a heavy one.
+ * <p>The shape is that of the moment estimator (Dekkers, Einmahl and de Haan, 1989) on the first two moments of the
+ * excess, which tells a bounded tail from a light and a heavy one.
  */
 final class Excess {
     /** A heavy tail is believed in until so many excesses have been seen as weigh against it. */
     private static final double HEAVY = 0.5;
+
     private static final double WEIGHT = 20;
     private static final double MEMORY = 1000;
     /** Where the moments come close to those of one single value, the estimate means nothing. */
     private static final double MAX_ALIKE = 0.75;
+
     private static final double NO_INDEX = 1e-6;
 
     private double mean = HEAVY;
--- a/node/src/main/java/fawnlb/stream/Figures.java
+++ b/node/src/main/java/fawnlb/stream/Figures.java
@@ -11,5 +11,5 @@
  * @param allowedGap nanoseconds of silence after which a stream of it is given up
  * @param heldBytes bytes held for its streams' clients
  */
-public record Figures(long backend, int open, Map<State, Integer> states, Map<String, Long> ends, long allowedGap,
-                      long heldBytes) { }
+public record Figures(
+        long backend, int open, Map<State, Integer> states, Map<String, Long> ends, long allowedGap, long heldBytes) {}
--- a/node/src/main/java/fawnlb/stream/Rules.java
+++ b/node/src/main/java/fawnlb/stream/Rules.java
@@ -9,12 +9,20 @@
  *     gap and this have passed
  * @param mostSilence and never kept for a longer one while its reader is ready
  * @param leastWait a first event is waited for so long at least, whatever is usual
- * @param majority a silence that this share of the backends with streams has in common is the fleet's, not the backend's
+ * @param majority a silence that this share of the backends with streams has in common is the fleet's, not the
+ *     backend's
  * @param readerPatience a reader that takes no byte for so long is left
  * @param mostHeld bytes that may be held for all streams together
  */
-public record Rules(boolean learned, double suspicion, long pause, long mostSilence, long leastWait,
-                    double majority, long readerPatience, long mostHeld) {
+public record Rules(
+        boolean learned,
+        double suspicion,
+        long pause,
+        long mostSilence,
+        long leastWait,
+        double majority,
+        long readerPatience,
+        long mostHeld) {
     private static final long MS = 1_000_000;
 
     /** What holds where no file says otherwise: clients are left waiting at most 5 s after a backend's last event. */
--- a/node/src/main/java/fawnlb/stream/Stream.java
+++ b/node/src/main/java/fawnlb/stream/Stream.java
@@ -10,6 +10,7 @@
 
     /** A thread that comes to its timers so late has not come to what was sent in the meantime either. */
     private static final long LATE = 100_000_000;
+
     private static final long SECOND_LOOK = 50_000_000;
     private static final int SECOND_LOOKS = 4;
     /** A reader that has taken nothing for so long has stopped, for the time being. */
@@ -39,8 +40,15 @@
     private long gaveUpAt;
     private long promised = NEVER;
 
-    Stream(Streams all, long backend, double promptTokens, long now, long until, boolean again, boolean events,
-           Streams.Owner owner) {
+    Stream(
+            Streams all,
+            long backend,
+            double promptTokens,
+            long now,
+            long until,
+            boolean again,
+            boolean events,
+            Streams.Owner owner) {
         this.all = all;
         this.backend = backend;
         this.promptTokens = promptTokens;
--- a/node/src/main/java/fawnlb/stream/Streams.java
+++ b/node/src/main/java/fawnlb/stream/Streams.java
@@ -20,6 +20,7 @@
     private final Map<Long, Record> records = new HashMap<>();
     /** Those whose readers lag, the one that has taken nothing for longest first. */
     private final Set<Stream> lagging = new LinkedHashSet<>();
+
     private int backendsWithStreams;
     private int backendsStalled;
     private long held;
@@ -55,7 +56,8 @@
      * @param again whether another attempt could follow it
      * @param events whether the answer comes as events, or whole and unannounced
      */
-    public Stream open(long now, long backend, double promptTokens, long until, boolean again, boolean events, Owner owner) {
+    public Stream open(
+            long now, long backend, double promptTokens, long until, boolean again, boolean events, Owner owner) {
         Record record = records.computeIfAbsent(backend, key -> new Record());
         record.gone = false;
         backendsWithStreams += record.open++ == 0 ? 1 : 0;
@@ -134,8 +136,8 @@
     }
 
     /**
-     * Ends streams until the bytes held are within the limit, those whose readers have taken nothing for longest
-     * first. Where no reader lags, the bytes are on their way, and none is at fault.
+     * Ends streams until the bytes held are within the limit, those whose readers have taken nothing for longest first.
+     * Where no reader lags, the bytes are on their way, and none is at fault.
      */
     public void makeRoom() {
         while (held > rules.mostHeld() && !lagging.isEmpty()) {
@@ -165,7 +167,8 @@
         new TreeMap<>(records).forEach((backend, record) -> {
             Map<State, Integer> states = new EnumMap<>(record.states);
             states.values().removeIf(n -> n == 0);
-            all.add(new Figures(backend, record.open, states, new TreeMap<>(record.ends), allowedGap(backend), record.held));
+            all.add(new Figures(
+                    backend, record.open, states, new TreeMap<>(record.ends), allowedGap(backend), record.held));
         });
         return all;
     }
@@ -176,7 +179,8 @@
             return rules.mostSilence();
         }
         // A pause of a box falls into a gap that would have been there anyhow.
-        return Math.min(rules.mostSilence(),
+        return Math.min(
+                rules.mostSilence(),
                 rules.pause() + Math.min(rules.mostSilence(), usual.gap(backend, rules.suspicion())));
     }
 }
--- a/node/src/main/java/fawnlb/stream/UpperTail.java
+++ b/node/src/main/java/fawnlb/stream/UpperTail.java
@@ -1,11 +1,11 @@
 package fawnlb.stream;
 
 /**
- * The upper end of a positive quantity that changes slowly, from a stream of its values: what is exceeded with a
- * given small probability, also one far too small to have been met.
+ * The upper end of a positive quantity that changes slowly, from a stream of its values: what is exceeded with a given
+ * small probability, also one far too small to have been met.
  *
- * <p>Method: peaks over a threshold. The threshold follows the 90% quantile by stochastic approximation (Robbins
- * and Monro, 1951) on the logarithm of the values; what lies above it has the shape that {@link Excess} tells of all
+ * <p>Method: peaks over a threshold. The threshold follows the 90% quantile by stochastic approximation (Robbins and
+ * Monro, 1951) on the logarithm of the values; what lies above it has the shape that {@link Excess} tells of all
  * sources together. Heavy tails make what is allowed longer instead of being taken for a failure. Values and thresholds
  * have the same unit.
  */
--- a/node/src/main/java/fawnlb/stream/Usual.java
+++ b/node/src/main/java/fawnlb/stream/Usual.java
@@ -13,6 +13,7 @@
     private static final int ENOUGH = 30;
     /** Once in a thousand: nothing is given up for being like the others. */
     private static final double ORDINARY = 3;
+
     private static final int LENGTHS = 20;
     private static final double MEDIAN_STEP = 0.1;
 
@@ -21,6 +22,7 @@
     private final Excess waitExcess = new Excess();
     /** All backends as if they were one, with a shape of its own: it holds their differences too. */
     private final Own fleet = new Own(new Excess(), new Excess());
+
     private final double[] middle = new double[LENGTHS];
 
     private static final class Own {
@@ -77,7 +79,8 @@
     long wait(long backend, double promptTokens, double phi) {
         Own own = backends.get(backend);
         long typical = typicalWait(promptTokens);
-        return typical == 0 ? Long.MAX_VALUE
+        return typical == 0
+                ? Long.MAX_VALUE
                 : (long) Math.min(Long.MAX_VALUE, typical * either(own == null ? null : own.waits, fleet.waits, phi));
     }
 
@@ -92,7 +95,8 @@
         if (all.seen() < ENOUGH) {
             return Long.MAX_VALUE;
         }
-        return own == null || own.seen() < ENOUGH ? all.exceededBy(phi)
+        return own == null || own.seen() < ENOUGH
+                ? all.exceededBy(phi)
                 : Math.max(own.exceededBy(phi), all.exceededBy(Math.min(phi, ORDINARY)));
     }
 
--- a/node/src/main/java/fawnlb/syslog/SyslogRecord.java
+++ b/node/src/main/java/fawnlb/syslog/SyslogRecord.java
@@ -11,6 +11,7 @@
 public final class SyslogRecord {
     /** RFC 5424, 6.1: a receiver should be able to take so many octets. */
     static final int MAX_RECORD_BYTES = 2048;
+
     private static final int MAX_VALUE_LENGTH = 256;
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
@@ -28,14 +29,15 @@
     }
 
     /** One record; over-long ones lose their message first, then their last parameters. */
-    public byte[] format(int severity, Instant time, String messageId, String element, Map<String, String> data,
-                         String message) {
-        String head = "<" + (facility * 8 + severity) + ">1 " + TIME.format(time) + ' ' + host + ' ' + app + ' ' + process
-                + ' ' + header(messageId, 32) + ' ';
+    public byte[] format(
+            int severity, Instant time, String messageId, String element, Map<String, String> data, String message) {
+        String head = "<" + (facility * 8 + severity) + ">1 " + TIME.format(time) + ' ' + host + ' ' + app + ' '
+                + process + ' ' + header(messageId, 32) + ' ';
         StringBuilder structured = new StringBuilder("[").append(name(element));
         int room = MAX_RECORD_BYTES - head.length() - 1;
         for (Map.Entry<String, String> entry : data.entrySet()) {
-            String parameter = ' ' + name(entry.getKey()) + "=\"" + escape(cut(entry.getValue(), MAX_VALUE_LENGTH)) + '"';
+            String parameter =
+                    ' ' + name(entry.getKey()) + "=\"" + escape(cut(entry.getValue(), MAX_VALUE_LENGTH)) + '"';
             if (bytes(structured.toString()) + bytes(parameter) <= room) {
                 structured.append(parameter);
             }
@@ -74,6 +76,9 @@
     }
 
     private static String escape(String text) {
-        return text.replace("\\", "\\\\").replace("\"", "\\\"").replace("]", "\\]").replaceAll("[\\x00-\\x1f\\x7f]", " ");
+        return text.replace("\\", "\\\\")
+                .replace("\"", "\\\"")
+                .replace("]", "\\]")
+                .replaceAll("[\\x00-\\x1f\\x7f]", " ");
     }
 }
--- a/node/src/main/java/fawnlb/syslog/SyslogSender.java
+++ b/node/src/main/java/fawnlb/syslog/SyslogSender.java
@@ -16,8 +16,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The collector's actor: sends records over UDP, or over TCP counted in octets (RFC 6587, 3.4.1). A record
- * that finds no room is dropped and counted; nothing waits for the collector.
+ * The collector's actor: sends records over UDP, or over TCP counted in octets (RFC 6587, 3.4.1). A record that finds
+ * no room is dropped and counted; nothing waits for the collector.
  */
 public final class SyslogSender {
     private static final int MAX_WAITING = 512;
@@ -56,7 +56,10 @@
                 return;
             }
             byte[] count = (record.length + " ").getBytes(StandardCharsets.US_ASCII);
-            waiting.add(ByteBuffer.allocate(count.length + record.length).put(count).put(record).flip());
+            waiting.add(ByteBuffer.allocate(count.length + record.length)
+                    .put(count)
+                    .put(record)
+                    .flip());
             if (connection != null) {
                 write();
             } else {
@@ -87,10 +90,12 @@
         IoFuture<StreamConnection> future = thread.openStreamConnection(collector, null, OptionMap.EMPTY);
         // A collector that never answers must not hold a descriptor for as long as the system would.
         Timers.Timer timeout = timers.after(RECONNECT, future::cancel);
-        future.addNotifier((f, none) -> thread.execute(() -> {
-            timeout.cancel();
-            connected(f);
-        }), null);
+        future.addNotifier(
+                (f, none) -> thread.execute(() -> {
+                    timeout.cancel();
+                    connected(f);
+                }),
+                null);
     }
 
     private void connected(IoFuture<? extends StreamConnection> future) {
@@ -112,11 +117,13 @@
 
     private void again() {
         if (!waiting.isEmpty()) {
-            timers.after(RECONNECT, () -> mailbox.tellAlways(() -> {
-                if (connection == null) {
-                    connect();
-                }
-            }));
+            timers.after(
+                    RECONNECT,
+                    () -> mailbox.tellAlways(() -> {
+                        if (connection == null) {
+                            connect();
+                        }
+                    }));
         }
     }
 
--- a/node/src/main/java/fawnlb/view/View.java
+++ b/node/src/main/java/fawnlb/view/View.java
@@ -5,11 +5,11 @@
 
 /**
  * One step between the list of backends and the decision module: it sees each list as the step before shows it and
- * every other event before the module does, and decides what the next step is to believe of each backend. A view
- * does no I/O and reads no clock; times are nanoseconds on the host's clock, which never goes back.
+ * every other event before the module does, and decides what the next step is to believe of each backend. A view does
+ * no I/O and reads no clock; times are nanoseconds on the host's clock, which never goes back.
  *
- * <p>What a view shows on its own account has the kind {@link fawnlb.decision.Balancer.ListKind#VIEW}: it changes
- * the named backends alone and says nothing of whether the list is being followed.
+ * <p>What a view shows on its own account has the kind {@link fawnlb.decision.Balancer.ListKind#VIEW}: it changes the
+ * named backends alone and says nothing of whether the list is being followed.
  */
 public interface View {
     /** {@link #wakeAt} of a view that waits for nothing. */
--- a/node/src/main/java/fawnlb/view/Views.java
+++ b/node/src/main/java/fawnlb/view/Views.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * A decision module behind a chain of views: to its host it is the module. Lists pass through every view in turn;
- * other events are shown to each view first, so that a retry is decided by what its failure has taught.
+ * A decision module behind a chain of views: to its host it is the module. Lists pass through every view in turn; other
+ * events are shown to each view first, so that a retry is decided by what its failure has taught.
  */
 public final class Views implements Balancer {
     private final List<View> views;
--- a/node/src/main/java/fawnlb/wire/Frames.java
+++ b/node/src/main/java/fawnlb/wire/Frames.java
@@ -46,8 +46,10 @@
         int length = head.getInt();
         clock = head.getLong();
         if (length < 0 || length > MAX_BYTES || records < 0 || records > length) {
-            throw new BadFrame("impossible batch: " + Integer.toUnsignedString(records) + " records in "
-                    + Integer.toUnsignedString(length) + " bytes", frameAt);
+            throw new BadFrame(
+                    "impossible batch: " + Integer.toUnsignedString(records) + " records in "
+                            + Integer.toUnsignedString(length) + " bytes",
+                    frameAt);
         }
         byte[] bytes = in.readNBytes(length);
         if (bytes.length < length) {
--- a/node/src/main/java/fawnlb/wire/WireHost.java
+++ b/node/src/main/java/fawnlb/wire/WireHost.java
@@ -85,8 +85,8 @@
             balancer.on(in.clock(), event);
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            reply.fault(who, e + " on " + event.getClass().getSimpleName()
-                    + (trace.length > 0 ? " at " + trace[0] : ""));
+            reply.fault(
+                    who, e + " on " + event.getClass().getSimpleName() + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
@@ -150,8 +150,20 @@
         double shared = in.f32();
         double most = in.f32();
         int bits = in.u8();
-        return new Balancer.Request(id, type, tenant, session, prefix, expiresIn, hint, prompt, shared, most,
-                (bits & HINTED) != 0, (bits & REPEAT) != 0, (bits & RESUMED) != 0);
+        return new Balancer.Request(
+                id,
+                type,
+                tenant,
+                session,
+                prefix,
+                expiresIn,
+                hint,
+                prompt,
+                shared,
+                most,
+                (bits & HINTED) != 0,
+                (bits & REPEAT) != 0,
+                (bits & RESUMED) != 0);
     }
 
     private Balancer.Started started() throws IOException {
--- a/node/src/main/java/org/xnio/nio/ListeningSocket.java
+++ b/node/src/main/java/org/xnio/nio/ListeningSocket.java
@@ -11,10 +11,10 @@
 /**
  * A listening socket on an I/O thread, and the connections accepted from it.
  *
- * <p>XNIO's own server accepts on a thread of its own, and after a failed accept it waits for 250 ms, then 1 s, 4 s and longer;
- * neither can be set. It has no public way to make a {@link StreamConnection} of an accepted socket, so this class stands in its
- * package. It holds no policy: when to accept is up to {@code fawnlb.client.Listener}. All methods belong to the I/O thread, but
- * for {@link #register}.
+ * <p>XNIO's own server accepts on a thread of its own, and after a failed accept it waits for 250 ms, then 1 s, 4 s and
+ * longer; neither can be set. It has no public way to make a {@link StreamConnection} of an accepted socket, so this
+ * class stands in its package. It holds no policy: when to accept is up to {@code fawnlb.client.Listener}. All methods
+ * belong to the I/O thread, but for {@link #register}.
  */
 public final class ListeningSocket extends NioHandle {
     private final ServerSocketChannel channel;
@@ -31,7 +31,8 @@
      *
      * @param acceptable runs on the I/O thread whenever somebody waits to be accepted and accepts are resumed
      */
-    public static ListeningSocket register(XnioIoThread thread, ServerSocketChannel channel, Runnable acceptable) throws IOException {
+    public static ListeningSocket register(XnioIoThread thread, ServerSocketChannel channel, Runnable acceptable)
+            throws IOException {
         WorkerThread worker = (WorkerThread) thread;
         SelectionKey key = worker.registerChannel(channel);
         ListeningSocket socket = new ListeningSocket(worker, key, channel, acceptable);
--- a/node/src/test/java/fawnlb/LogLines.java
+++ b/node/src/test/java/fawnlb/LogLines.java
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void flush() { }
+    public void flush() {}
 
     @Override
     public void close() {
--- a/node/src/test/java/fawnlb/cli/LogWriterTest.java
+++ b/node/src/test/java/fawnlb/cli/LogWriterTest.java
@@ -30,10 +30,10 @@
         }
 
         @Override
-        public void flush() { }
+        public void flush() {}
 
         @Override
-        public void close() { }
+        public void close() {}
     }
 
     @Test
