--- a/node/src/test/java/fawnlb/discovery/StartTimesTest.java
+++ b/node/src/test/java/fawnlb/discovery/StartTimesTest.java
@@ -13,6 +13,7 @@
     private static final long HOUR = 3600 * S;
     /** The time on the clock that starts are told by, when a test begins. */
     private static final long TRUE = 1_000_000 * S;
+
     private static final long[] OFFSETS = {0, HOUR, -HOUR, 3 * S, -3 * S, 20 * S, -20 * S};
 
     private final StartTimes starts = new StartTimes();
--- a/node/src/test/java/fawnlb/policy/ActionDigest.java
+++ b/node/src/test/java/fawnlb/policy/ActionDigest.java
@@ -9,8 +9,8 @@
 import java.util.HexFormat;
 
 /**
- * Hashes a sequence of actions. Each action is encoded as its time, a number for its kind and its fields, so that the hash depends
- * neither on names of classes and fields nor on their order in the source.
+ * Hashes a sequence of actions. Each action is encoded as its time, a number for its kind and its fields, so that the
+ * hash depends neither on names of classes and fields nor on their order in the source.
  */
 final class ActionDigest {
     private static final int START_ATTEMPT = 1;
