--- a/node/src/main/java/fawnlb/config/SettingsParser.java
+++ b/node/src/main/java/fawnlb/config/SettingsParser.java
@@ -26,6 +26,20 @@
 public final class SettingsParser {
     private static final long SECOND = 1_000_000_000L;
     private static final int MAX_ITEMS = 10_000;
+    private static final Map<String, Effect> EFFECTS =
+            Map.of("SAFE", Effect.SAFE, "KEYED", Effect.KEYED, "UNSAFE", Effect.UNSAFE);
+    private static final Map<String, Group> GROUPS = Map.of("ALL", Group.ALL, "ZONE", Group.ZONE, "CELL", Group.CELL);
+    private static final Map<String, Reports> REPORTS = Map.of(
+            "NONE",
+            Reports.NONE,
+            "ANSWER",
+            Reports.ANSWERS,
+            "ANSWERS",
+            Reports.ANSWERS,
+            "PROBE",
+            Reports.PROBES,
+            "PROBES",
+            Reports.PROBES);
 
     private final Map<String, String> values = new HashMap<>();
     private final List<String> complaints = new ArrayList<>();
@@ -57,8 +71,8 @@
             String at = "profiles." + i + ".";
             long deadline = time(at + "deadline-ns", SECOND);
             classes.add(new RequestClass(
-                    word(at + "effect", Effect.UNSAFE),
-                    word(at + "group", Group.CELL),
+                    word(at + "effect", EFFECTS, "UNSAFE"),
+                    word(at + "group", GROUPS, "CELL"),
                     time(at + "window-ns", 0),
                     time(at + "on-time-ns", deadline),
                     i < perThousand.size() ? perThousand.get(i) : 0,
@@ -89,7 +103,7 @@
                 real("rules.tip-multiple", 1),
                 time("rules.fall-ns", SECOND));
         Discovery discovery = "subscribe".equals(values.get("registry-mode")) ? Discovery.ASKED : Discovery.PUSHED;
-        Reports reports = word("report.how", Reports.NONE);
+        Reports reports = word("report.how", REPORTS, "NONE");
         String fields = values.getOrDefault("report.fields", "");
         return new Settings(
                 whole("my-number", 0),
@@ -180,14 +194,16 @@
         });
     }
 
-    private <E extends Enum<E>> E word(String path, E missing) {
-        return read(path, missing, text -> {
-            for (E value : missing.getDeclaringClass().getEnumConstants()) {
-                if (value.name().equalsIgnoreCase(text) || value.name().equalsIgnoreCase(text + "s")) {
-                    return value;
+    /** The value that a word stands for, whatever its case; {@code missing}: the word that holds without one. */
+    private <T> T word(String path, Map<String, T> words, String missing) {
+        String word = read(path, missing, text -> {
+            for (String known : words.keySet()) {
+                if (known.equalsIgnoreCase(text)) {
+                    return known;
                 }
             }
             throw new IllegalArgumentException(text);
         });
+        return words.get(word);
     }
 }
--- a/node/src/main/java/fawnlb/discovery/Discovery.java
+++ b/node/src/main/java/fawnlb/discovery/Discovery.java
@@ -318,12 +318,21 @@
         private void fail(String why, ListKind kind) {
             if (!done) {
                 drop();
-                Metrics.count(Metric.DISCOVERY_CALLS, kind);
+                Metrics.count(Metric.DISCOVERY_CALLS, resultLabel(kind));
                 say((watching ? "watch " : "fetch ") + why);
                 subscriber.heard(kind, null);
             }
         }
 
+        /** The value of the metric's label, which stays whatever the constants are called. */
+        private static String resultLabel(ListKind kind) {
+            return switch (kind) {
+                case CROWDED -> "crowded";
+                case UNANSWERED -> "unanswered";
+                default -> "failed";
+            };
+        }
+
         void drop() {
             done = true;
             patience.cancel();
