--- a/lab/src/main/java/fawnlb/lab/cli/Main.java
+++ b/lab/src/main/java/fawnlb/lab/cli/Main.java
@@ -9,9 +9,9 @@
 import fawnlb.lab.scenario.SlowReaders;
 import fawnlb.lab.scenario.SnapshotCrash;
 import fawnlb.lab.scenario.Soak;
-import fawnlb.lab.scenario.StalledBoxes;
-import fawnlb.lab.scenario.StartTime;
+import fawnlb.lab.scenario.StalledBackends;
 import fawnlb.lab.scenario.StartWithoutDiscovery;
+import fawnlb.lab.scenario.StartupTime;
 import fawnlb.lab.scenario.StreamFaults;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,17 +21,17 @@
     private static final List<Scenario> SCENARIOS = List.of(
             new StartWithoutDiscovery(),
             new SnapshotCrash(),
-            new StartTime(),
+            new StartupTime(),
             new StreamFaults(),
             new FleetSize(),
             new Soak(),
-            new StalledBoxes(),
+            new StalledBackends(),
             new SlowReaders());
 
     private Main() {}
 
     @Parameters(commandDescription = "Play a named scenario")
-    private static final class Run {
+    private static final class RunCommand {
         @Parameter(description = "NAME", required = true)
         private List<String> names = new ArrayList<>();
 
@@ -43,24 +43,24 @@
     }
 
     @Parameters(commandDescription = "Name the scenarios")
-    private static final class Names {}
+    private static final class ListCommand {}
 
     /** Exit codes: 0 held, 1 fell short, 2 wrong words. */
     public static void main(String[] args) throws Exception {
         System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tT %4$s %5$s%6$s%n");
-        Run run = new Run();
-        JCommander line = JCommander.newBuilder()
+        RunCommand run = new RunCommand();
+        JCommander commandLine = JCommander.newBuilder()
                 .programName("java -jar fawnlb-lab.jar")
                 .addCommand("run", run)
-                .addCommand("list", new Names())
+                .addCommand("list", new ListCommand())
                 .build();
         try {
-            line.parse(args);
-            if ("list".equals(line.getParsedCommand())) {
+            commandLine.parse(args);
+            if ("list".equals(commandLine.getParsedCommand())) {
                 SCENARIOS.forEach(s -> System.out.printf("%-26s %s%n", s.name(), s.purpose()));
                 return;
             }
-            if (line.getParsedCommand() == null || run.names.size() != 1) {
+            if (commandLine.getParsedCommand() == null || run.names.size() != 1) {
                 throw new ParameterException("expected 'list' or 'run NAME'");
             }
             Scenario scenario = SCENARIOS.stream()
@@ -68,7 +68,7 @@
                     .findFirst()
                     .orElseThrow(
                             () -> new ParameterException("no scenario '" + run.names.get(0) + "'; 'list' names them"));
-            System.exit(scenario.play(run.seed, run.quick).print(System.out) ? 0 : 1);
+            System.exit(scenario.run(run.seed, run.quick).print(System.out) ? 0 : 1);
         } catch (ParameterException e) {
             System.err.println("fawnlb-lab: " + e.getMessage());
             System.exit(2);
--- a/lab/src/main/java/fawnlb/lab/engine/Engine.java
+++ b/lab/src/main/java/fawnlb/lab/engine/Engine.java
@@ -15,221 +15,242 @@
  * do at that moment for a stated time while it is cold, it falls over and stays down.
  */
 public final class Engine {
-    private static final double MS = 1e6;
+    private static final double NANOS_PER_MILLI = 1e6;
 
-    private final Kind kind;
-    private final Cold cold;
-    private final Deque<Sequence> waiting = new ArrayDeque<>();
+    private final EngineProfile profile;
+    private final SlowStartProfile slowStart;
+    private final Deque<Sequence> queued = new ArrayDeque<>();
     private final List<Sequence> running = new ArrayList<>();
-    private final Map<Long, Integer> kept = new LinkedHashMap<>(16, 0.75f, true);
-    private final Deque<double[]> sent = new ArrayDeque<>();
-    private double sentWork;
-    private int keptTokens;
+    private final Map<Long, Integer> promptCache = new LinkedHashMap<>(16, 0.75f, true);
+    private final Deque<double[]> recentWork = new ArrayDeque<>();
+    private double recentWorkMillis;
+    private int cachedTokens;
     private long startedAt;
-    private double extra;
-    private double slow = 1;
-    private boolean down;
-    private long stepEnds;
+    private double extraStepMillis;
+    private double slowdown = 1;
+    private boolean collapsed;
+    private long stepEndsAt;
 
     /**
-     * {@code from}: share of its speed at the start; warm after {@code nanos}; falls over {@code multiple} times its
-     * present work for {@code fall} nanoseconds.
+     * {@code initialCapacity}: share of its speed at the start; warm after {@code durationNanos}; falls over
+     * {@code overloadMultiple} times its present work for {@code overloadWindowNanos} nanoseconds.
      */
-    public record Cold(double from, long nanos, double multiple, long fall) {}
+    public record SlowStartProfile(
+            double initialCapacity, long durationNanos, double overloadMultiple, long overloadWindowNanos) {}
 
     /** A request at the engine, and who hears of its tokens. */
     public static final class Sequence {
         final long session;
         final long prefix;
-        final int prompt;
-        final int prefixLength;
-        final int out;
-        final Output output;
-        int unread;
-        int made;
-        int found;
-
-        /** Lengths in tokens; {@code out}: how many tokens its answer will have. */
-        public Sequence(long session, long prefix, int prompt, int prefixLength, int out, Output output) {
+        final int promptTokens;
+        final int prefixTokens;
+        final int outputTokens;
+        final TokenListener listener;
+        int remainingPromptTokens;
+        int generatedTokens;
+        int cachedPromptTokens;
+
+        /** Lengths in tokens; {@code outputTokens}: how many tokens its answer will have. */
+        public Sequence(
+                long session,
+                long prefix,
+                int promptTokens,
+                int prefixTokens,
+                int outputTokens,
+                TokenListener listener) {
             this.session = session;
             this.prefix = prefix;
-            this.prompt = prompt;
-            this.prefixLength = prefixLength;
-            this.out = Math.max(1, out);
-            this.output = output;
+            this.promptTokens = promptTokens;
+            this.prefixTokens = prefixTokens;
+            this.outputTokens = Math.max(1, outputTokens);
+            this.listener = listener;
         }
 
-        public int prompt() {
-            return prompt;
+        public int promptTokens() {
+            return promptTokens;
         }
 
-        public int made() {
-            return made;
+        public int generatedTokens() {
+            return generatedTokens;
         }
 
         /** Prompt tokens that were found kept. */
-        public int found() {
-            return found;
+        public int cachedPromptTokens() {
+            return cachedPromptTokens;
         }
     }
 
     /** Hears of each token as its step ends. */
-    public interface Output {
-        void token(boolean last);
+    public interface TokenListener {
+        void onToken(boolean last);
     }
 
-    public Engine(Kind kind, Cold cold, long startedAt) {
-        this.kind = kind;
-        this.cold = cold;
+    public Engine(EngineProfile profile, SlowStartProfile slowStart, long startedAt) {
+        this.profile = profile;
+        this.slowStart = slowStart;
         this.startedAt = startedAt;
     }
 
     /** The share of its full speed that it has by now. */
-    public double present(long now) {
+    public double currentCapacity(long now) {
         return startedAt <= 0
                 ? 1
-                : Math.min(1, cold.from() + (1 - cold.from()) * Math.max(0, now - startedAt) / cold.nanos());
+                : Math.min(
+                        1,
+                        slowStart.initialCapacity()
+                                + (1 - slowStart.initialCapacity())
+                                        * Math.max(0, now - startedAt)
+                                        / slowStart.durationNanos());
     }
 
-    public boolean isDown() {
-        return down;
+    public boolean isCollapsed() {
+        return collapsed;
     }
 
-    public int waiting() {
-        return waiting.size();
+    public int queueLength() {
+        return queued.size();
     }
 
     /** So many times slower than it would be. */
-    public void slow(double factor) {
-        slow = factor;
+    public void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
     /** A new connection, or a probe. */
-    public void connected() {
-        extra += kind.connect();
+    public void onConnectionOpened() {
+        extraStepMillis += profile.connectMillis();
     }
 
-    public void probed() {
-        extra += kind.probe();
+    public void onLoadReportRequested() {
+        extraStepMillis += profile.loadReportMillis();
     }
 
     /** Takes a request, unless the engine is full; false also when this one made it fall over. */
     public boolean offer(long now, Sequence sequence) {
-        count(now, kind.work(sequence.prompt, sequence.out));
-        if (down || running.size() >= kind.slots() && waiting.size() >= kind.queue()) {
+        recordWork(now, profile.workMillis(sequence.promptTokens, sequence.outputTokens));
+        if (collapsed || running.size() >= profile.maxRunning() && queued.size() >= profile.queueCapacity()) {
             return false;
         }
-        waiting.add(sequence);
+        queued.add(sequence);
         return true;
     }
 
-    private void count(long now, double work) {
-        sent.add(new double[] {now, work});
-        sentWork += work;
-        while (sent.peek()[0] < now - cold.fall()) {
-            sentWork -= sent.poll()[1];
+    private void recordWork(long now, double workMillis) {
+        recentWork.add(new double[] {now, workMillis});
+        recentWorkMillis += workMillis;
+        while (recentWork.peek()[0] < now - slowStart.overloadWindowNanos()) {
+            recentWorkMillis -= recentWork.poll()[1];
         }
         // Before the window has passed since the start, the box can only have been sent its part of it.
-        if (present(now) < 1 && sentWork > cold.multiple() * present(now) * cold.fall() / MS) {
-            down = true;
+        if (currentCapacity(now) < 1
+                && recentWorkMillis
+                        > slowStart.overloadMultiple()
+                                * currentCapacity(now)
+                                * slowStart.overloadWindowNanos()
+                                / NANOS_PER_MILLI) {
+            collapsed = true;
         }
     }
 
     /** Its client has gone: work on it stops with the present step. */
     public void cancel(Sequence sequence) {
-        waiting.remove(sequence);
+        queued.remove(sequence);
         running.remove(sequence);
     }
 
     /** Begins a step if there is work; when it ends, -1 if there is nothing to do or one is under way. */
-    public long begin(long now) {
-        if (down || stepEnds > 0) {
+    public long beginStep(long now) {
+        if (collapsed || stepEndsAt > 0) {
             return -1;
         }
-        while (!waiting.isEmpty() && running.size() < kind.slots() && fits(waiting.peek())) {
-            admit(waiting.poll());
+        while (!queued.isEmpty() && running.size() < profile.maxRunning() && hasMemoryFor(queued.peek())) {
+            startSequence(queued.poll());
         }
         if (running.isEmpty()) {
             return -1;
         }
-        int budget = kind.chunk();
-        int makes = 0;
+        int prefillBudget = profile.prefillChunkTokens();
+        int decoding = 0;
         for (Sequence sequence : running) {
-            int read = Math.min(budget, sequence.unread);
-            budget -= read;
-            makes += sequence.unread == 0 ? 1 : 0;
+            int prefillTokens = Math.min(prefillBudget, sequence.remainingPromptTokens);
+            prefillBudget -= prefillTokens;
+            decoding += sequence.remainingPromptTokens == 0 ? 1 : 0;
         }
-        double millis = kind.step()
-                + kind.perSequence() * makes
-                + (kind.chunk() - budget) / kind.readPerSecond() * 1000
-                + extra;
-        extra = 0;
-        stepEnds = now + (long) (millis * MS * slow / kind.speed() / present(now));
-        return stepEnds;
+        double millis = profile.stepMillis()
+                + profile.perSequenceMillis() * decoding
+                + (profile.prefillChunkTokens() - prefillBudget) / profile.prefillTokensPerSecond() * 1000
+                + extraStepMillis;
+        extraStepMillis = 0;
+        stepEndsAt = now + (long) (millis * NANOS_PER_MILLI * slowdown / profile.speedFactor() / currentCapacity(now));
+        return stepEndsAt;
     }
 
-    private boolean fits(Sequence sequence) {
-        return running.isEmpty() || held() + sequence.prompt + sequence.out <= kind.memory();
+    private boolean hasMemoryFor(Sequence sequence) {
+        return running.isEmpty()
+                || reservedTokens() + sequence.promptTokens + sequence.outputTokens <= profile.memoryTokens();
     }
 
-    private void admit(Sequence sequence) {
-        int session = kept.getOrDefault(sequence.session, 0);
-        int prefix = sequence.prefix == 0 ? 0 : Math.min(sequence.prefixLength, kept.getOrDefault(sequence.prefix, 0));
-        sequence.found = Math.min(sequence.prompt - 1, Math.max(session, prefix));
-        sequence.unread = sequence.prompt - sequence.found;
+    private void startSequence(Sequence sequence) {
+        int cachedSessionTokens = promptCache.getOrDefault(sequence.session, 0);
+        int cachedPrefixTokens = sequence.prefix == 0
+                ? 0
+                : Math.min(sequence.prefixTokens, promptCache.getOrDefault(sequence.prefix, 0));
+        sequence.cachedPromptTokens =
+                Math.min(sequence.promptTokens - 1, Math.max(cachedSessionTokens, cachedPrefixTokens));
+        sequence.remainingPromptTokens = sequence.promptTokens - sequence.cachedPromptTokens;
         running.add(sequence);
-        makeRoom();
+        evictCache();
     }
 
     /** The step has ended: prompts are read on, and every request whose prompt was read has one more token. */
-    public void end() {
-        stepEnds = 0;
-        int budget = kind.chunk();
-        List<Sequence> made = new ArrayList<>();
+    public void endStep() {
+        stepEndsAt = 0;
+        int prefillBudget = profile.prefillChunkTokens();
+        List<Sequence> decoding = new ArrayList<>();
         for (Sequence sequence : running) {
-            if (sequence.unread == 0) {
-                made.add(sequence);
+            if (sequence.remainingPromptTokens == 0) {
+                decoding.add(sequence);
             }
-            int read = Math.min(budget, sequence.unread);
-            budget -= read;
-            sequence.unread -= read;
+            int prefillTokens = Math.min(prefillBudget, sequence.remainingPromptTokens);
+            prefillBudget -= prefillTokens;
+            sequence.remainingPromptTokens -= prefillTokens;
         }
-        for (Sequence sequence : made) {
-            sequence.made++;
-            boolean last = sequence.made == sequence.out;
+        for (Sequence sequence : decoding) {
+            sequence.generatedTokens++;
+            boolean last = sequence.generatedTokens == sequence.outputTokens;
             if (last) {
                 running.remove(sequence);
-                keep(sequence);
+                cacheSequence(sequence);
             }
-            sequence.output.token(last);
+            sequence.listener.onToken(last);
         }
     }
 
-    private void keep(Sequence sequence) {
-        put(sequence.session, sequence.prompt + sequence.made);
+    private void cacheSequence(Sequence sequence) {
+        cacheTokens(sequence.session, sequence.promptTokens + sequence.generatedTokens);
         if (sequence.prefix != 0) {
-            put(sequence.prefix, sequence.prefixLength);
+            cacheTokens(sequence.prefix, sequence.prefixTokens);
         }
-        makeRoom();
+        evictCache();
     }
 
     /** Running requests and kept prompts share one memory; what was unused for longest goes first. */
-    private void makeRoom() {
-        int held = held();
-        var oldest = kept.entrySet().iterator();
-        while (keptTokens + held > kind.memory() && oldest.hasNext()) {
-            keptTokens -= oldest.next().getValue();
-            oldest.remove();
+    private void evictCache() {
+        int reserved = reservedTokens();
+        var leastRecentlyUsed = promptCache.entrySet().iterator();
+        while (cachedTokens + reserved > profile.memoryTokens() && leastRecentlyUsed.hasNext()) {
+            cachedTokens -= leastRecentlyUsed.next().getValue();
+            leastRecentlyUsed.remove();
         }
     }
 
     /** Tokens of the running requests, with those that their answers may still have. */
-    private int held() {
-        return running.stream().mapToInt(s -> s.prompt + s.out).sum();
+    private int reservedTokens() {
+        return running.stream().mapToInt(s -> s.promptTokens + s.outputTokens).sum();
     }
 
-    private void put(long key, int tokens) {
-        Integer before = kept.put(key, tokens);
-        keptTokens += tokens - (before == null ? 0 : before);
+    private void cacheTokens(long key, int tokens) {
+        Integer previous = promptCache.put(key, tokens);
+        cachedTokens += tokens - (previous == null ? 0 : previous);
     }
 }
--- a/lab/src/main/java/fawnlb/lab/engine/EngineServer.java
+++ b/lab/src/main/java/fawnlb/lab/engine/EngineServer.java
@@ -1,6 +1,6 @@
 package fawnlb.lab.engine;
 
-import fawnlb.actor.Timers;
+import fawnlb.eventloop.Timers;
 import fawnlb.lab.net.Fault;
 import fawnlb.lab.net.HttpServer;
 import fawnlb.lab.net.HttpServer.Exchange;
@@ -24,70 +24,72 @@
 /** A box: an engine behind sockets, with what can go wrong with it. All of it runs on the worker's I/O thread. */
 public final class EngineServer implements HttpServer.Handler {
     private static final Pattern MAX_TOKENS_FIELD = Pattern.compile("\"max_tokens\"\\s*:\\s*(\\d{1,6})");
-    private static final Pattern STREAM = Pattern.compile("\"stream\"\\s*:\\s*true");
+    private static final Pattern STREAM_FIELD = Pattern.compile("\"stream\"\\s*:\\s*true");
     /** Tokens in one event. */
-    private static final int EVENT = 4;
+    private static final int TOKENS_PER_EVENT = 4;
 
-    private static final String STREAM_HEAD =
+    private static final String STREAM_RESPONSE_HEAD =
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n" + "Transfer-Encoding: chunked\r\n\r\n";
-    private static final String EMPTY = "Content-Length: 0\r\n\r\n";
+    private static final String EMPTY_BODY = "Content-Length: 0\r\n\r\n";
 
     private final Timers timers;
     private final RuleChecker rules;
-    private final Kind kind;
-    private final Speech speech;
-    private final Engine.Cold cold;
+    private final EngineProfile profile;
+    private final ApiFormat apiFormat;
+    private final Engine.SlowStartProfile slowStart;
     private final HttpServer server;
     private String id;
     private Engine engine;
     private boolean draining;
-    private boolean silent;
-    private Function<String, Fault> faults = request -> null;
-    private LongSupplier delay = () -> 0;
-    private LongConsumer detected = nanos -> {};
-    private int answerLength;
-    private int headLength;
-    private long answeredAt;
-    private int connections;
-    private final List<Long> called = new ArrayList<>();
+    private boolean unresponsive;
+    private Function<String, Fault> faultSelector = request -> null;
+    private LongSupplier stepDelayNanos = () -> 0;
+    private LongConsumer detectionListener = nanos -> {};
+    private int lastResponseBytes;
+    private int lastHeadBytes;
+    private long lastResponseAt;
+    private int connectionCount;
+    private final List<Long> cancelledSilencesNanos = new ArrayList<>();
 
     /**
      * What the lab's clients tell of a request in its query: the true length of an answer is known to no one else.
      * Where a query does not come through, in another dialect, an answer is as long as it may be.
      */
-    private record Ask(
-            String id,
+    private record CompletionRequest(
+            String requestId,
             long session,
             long prefix,
-            int prompt,
-            int prefixLength,
-            int out,
-            int pad,
-            boolean stream,
-            long patience) {
-        static Ask of(Request request) {
-            Map<String, Long> facts = new HashMap<>();
-            for (String part :
+            int promptTokens,
+            int prefixTokens,
+            int outputTokens,
+            int paddingBytes,
+            boolean streaming,
+            long timeoutNanos) {
+        static CompletionRequest of(Request request) {
+            Map<String, Long> parameters = new HashMap<>();
+            for (String parameter :
                     request.path().substring(request.path().indexOf('?') + 1).split("&")) {
-                int at = part.indexOf('=');
-                if (at > 0) {
-                    facts.put(part.substring(0, at), Long.parseUnsignedLong(part.substring(at + 1), 16));
+                int separator = parameter.indexOf('=');
+                if (separator > 0) {
+                    parameters.put(
+                            parameter.substring(0, separator),
+                            Long.parseUnsignedLong(parameter.substring(separator + 1), 16));
                 }
             }
             String body = new String(request.body(), StandardCharsets.UTF_8);
-            Matcher most = MAX_TOKENS_FIELD.matcher(body);
-            if (!facts.containsKey("out") && most.find()) {
-                facts.put("out", Long.parseLong(most.group(1)));
+            Matcher maxTokens = MAX_TOKENS_FIELD.matcher(body);
+            if (!parameters.containsKey("out") && maxTokens.find()) {
+                parameters.put("out", Long.parseLong(maxTokens.group(1)));
             }
-            return new Ask(
+            return new CompletionRequest(
                     request.header("x-request-id"),
-                    facts.getOrDefault("session", 0L),
-                    facts.getOrDefault("prefix", 0L),
-                    facts.getOrDefault("prompt", 1L).intValue(),
-                    facts.getOrDefault("shared", 0L).intValue(),
-                    facts.getOrDefault("out", 1L).intValue(),
-                    facts.getOrDefault("pad", 0L).intValue(),
-                    STREAM.matcher(body).find(),
+                    parameters.getOrDefault("session", 0L),
+                    parameters.getOrDefault("prefix", 0L),
+                    parameters.getOrDefault("prompt", 1L).intValue(),
+                    parameters.getOrDefault("shared", 0L).intValue(),
+                    parameters.getOrDefault("out", 1L).intValue(),
+                    parameters.getOrDefault("pad", 0L).intValue(),
+                    STREAM_FIELD.matcher(body).find(),
                     request.header("x-deadline-ms").isEmpty()
                             ? 0
                             : Long.parseLong(request.header("x-deadline-ms")) * 1_000_000);
@@ -96,21 +98,21 @@
 
     public EngineServer(
             String id,
-            Kind kind,
-            Speech speech,
-            Engine.Cold cold,
+            EngineProfile profile,
+            ApiFormat apiFormat,
+            Engine.SlowStartProfile slowStart,
             long startedAt,
             XnioWorker worker,
             Timers timers,
             RuleChecker rules)
             throws IOException {
         this.id = id;
-        this.kind = kind;
-        this.speech = speech;
-        this.cold = cold;
+        this.profile = profile;
+        this.apiFormat = apiFormat;
+        this.slowStart = slowStart;
         this.timers = timers;
         this.rules = rules;
-        this.engine = new Engine(kind, cold, startedAt);
+        this.engine = new Engine(profile, slowStart, startedAt);
         this.server = new HttpServer(worker, new InetSocketAddress("127.0.0.1", 0), this);
     }
 
@@ -118,8 +120,8 @@
         return id;
     }
 
-    public Kind kind() {
-        return kind;
+    public EngineProfile profile() {
+        return profile;
     }
 
     public InetSocketAddress address() {
@@ -127,8 +129,8 @@
     }
 
     /** Whether it was sent so much while it was cold that it fell over. */
-    public boolean isDown() {
-        return engine.isDown();
+    public boolean isCollapsed() {
+        return engine.isCollapsed();
     }
 
     // ---- What can happen to it ------------------------------------------------------------------------
@@ -136,16 +138,16 @@
     /** Another box at the same address, cold. */
     public void replace(String newId) {
         id = newId;
-        engine = new Engine(kind, cold, timers.now());
-        server.resetAll();
+        engine = new Engine(profile, slowStart, timers.now());
+        server.resetConnections();
     }
 
     /** The process starts anew, cold and with nothing kept. */
     public void restart() throws IOException {
         replace(id);
-        silent = false;
+        unresponsive = false;
         draining = false;
-        server.accept();
+        server.resumeListening();
     }
 
     /** Finishes what it has and turns away all else. */
@@ -154,19 +156,19 @@
     }
 
     /** The process is gone: connections are reset, new ones refused. */
-    public void die() {
-        server.refuse();
-        server.resetAll();
+    public void crash() {
+        server.stopListening();
+        server.resetConnections();
     }
 
     /** Says nothing any more, as a machine that is cut off: open connections stay open, new ones never come up. */
-    public void vanish() throws IOException {
-        silent = true;
-        server.hang();
+    public void becomeUnreachable() throws IOException {
+        unresponsive = true;
+        server.dropNewConnections();
     }
 
-    public void slow(double factor) {
-        engine.slow(factor);
+    public void setSlowdown(double factor) {
+        engine.setSlowdown(factor);
     }
 
     public void close() {
@@ -174,166 +176,172 @@
     }
 
     /** What is done to the answers, by the request's id; null for those that are left as they are. */
-    public void spoil(Function<String, Fault> chosen) {
-        faults = chosen;
+    public void injectFaults(Function<String, Fault> selector) {
+        faultSelector = selector;
     }
 
     /** Each step takes so many nanoseconds longer than it would. */
-    public void delay(LongSupplier nanos) {
-        delay = nanos;
+    public void setStepDelay(LongSupplier nanos) {
+        stepDelayNanos = nanos;
     }
 
     /** Told how many nanoseconds after a fault struck the other side closed the connection. */
-    public void whenDetected(LongConsumer told) {
-        detected = told;
+    public void setDetectionListener(LongConsumer listener) {
+        detectionListener = listener;
     }
 
     /** Bytes of the last answer that was written to its end, its head included. */
-    public int answerLength() {
-        return answerLength;
+    public int lastResponseBytes() {
+        return lastResponseBytes;
     }
 
     /** Of it, the bytes of its head. */
-    public int headLength() {
-        return headLength;
+    public int lastHeadBytes() {
+        return lastHeadBytes;
     }
 
     /** When that was. */
-    public long answeredAt() {
-        return answeredAt;
+    public long lastResponseAt() {
+        return lastResponseAt;
     }
 
     /** Of answers that had begun and were called off with no fault on them: nanoseconds since their last event. */
-    public List<Long> called() {
-        return called;
+    public List<Long> cancelledSilencesNanos() {
+        return cancelledSilencesNanos;
     }
 
     /** Connections that were made to it. */
-    public int connections() {
-        return connections;
+    public int connectionCount() {
+        return connectionCount;
     }
 
     // ---- What it answers ------------------------------------------------------------------------------
 
     @Override
-    public void connected(Exchange exchange) {
-        connections++;
-        engine.connected();
+    public void onConnected(Exchange exchange) {
+        connectionCount++;
+        engine.onConnectionOpened();
     }
 
     @Override
-    public void request(Request request, Exchange exchange) {
-        if (silent) {
-            exchange.fallSilent();
+    public void onRequest(Request request, Exchange exchange) {
+        if (unresponsive) {
+            exchange.stopCommunicating();
             return;
         }
-        if (engine.isDown()) {
-            die();
+        if (engine.isCollapsed()) {
+            crash();
             return;
         }
         String path = request.path().split("\\?")[0];
-        if (path.equals(speech.path())) {
-            answer(Ask.of(request), exchange);
+        if (path.equals(apiFormat.path())) {
+            handleCompletion(CompletionRequest.of(request), exchange);
             return;
         }
         switch (path) {
-            case "/health/live" -> exchange.write("HTTP/1.1 200 OK\r\n" + EMPTY);
+            case "/health/live" -> exchange.write("HTTP/1.1 200 OK\r\n" + EMPTY_BODY);
             case "/stats" -> {
-                engine.probed();
-                String report = "TEXT queue=" + engine.waiting();
+                engine.onLoadReportRequested();
+                String report = "TEXT queue=" + engine.queueLength();
                 exchange.write("HTTP/1.1 200 OK\r\nContent-Length: " + report.length() + "\r\n\r\n" + report);
             }
-            default -> exchange.write("HTTP/1.1 404 Not Found\r\n" + EMPTY);
+            default -> exchange.write("HTTP/1.1 404 Not Found\r\n" + EMPTY_BODY);
         }
     }
 
-    private void answer(Ask ask, Exchange exchange) {
+    private void handleCompletion(CompletionRequest request, Exchange exchange) {
         long now = timers.now();
-        rules.sent(now, ask.id(), id, () -> exchange.isOpen());
-        rules.told(now, ask.id(), ask.patience());
-        Answer answer = new Answer(ask, exchange);
-        if (draining || !engine.offer(now, answer.sequence)) {
-            rules.ended(timers.now(), ask.id(), id, false, 0);
-            exchange.write("HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n" + EMPTY);
-            if (engine.isDown()) {
-                rules.fell(now, id);
-                die();
+        rules.onAttemptReceived(now, request.requestId(), id, () -> exchange.isOpen());
+        rules.told(now, request.requestId(), request.timeoutNanos());
+        GeneratedAnswer generated = new GeneratedAnswer(request, exchange);
+        if (draining || !engine.offer(now, generated.sequence)) {
+            rules.onAttemptEnded(timers.now(), request.requestId(), id, false, 0);
+            exchange.write("HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n" + EMPTY_BODY);
+            if (engine.isCollapsed()) {
+                rules.onBackendCollapsed(now, id);
+                crash();
             }
             return;
         }
-        rules.ran(ask.id());
-        exchange.spoil(faults.apply(ask.id()));
-        exchange.whenClosed(answer::cancelled);
-        step(engine);
+        rules.onExecutionStarted(request.requestId());
+        exchange.injectFault(faultSelector.apply(request.requestId()));
+        exchange.setCloseListener(generated::onConnectionClosed);
+        runStep(engine);
     }
 
-    private void step(Engine stepping) {
-        long end = stepping.begin(timers.now());
-        if (end >= 0) {
-            timers.after(end - timers.now() + delay.getAsLong(), () -> {
-                if (!silent && stepping == engine) {
-                    stepping.end();
-                    step(stepping);
+    private void runStep(Engine stepping) {
+        long endsAt = stepping.beginStep(timers.now());
+        if (endsAt >= 0) {
+            timers.schedule(endsAt - timers.now() + stepDelayNanos.getAsLong(), () -> {
+                if (!unresponsive && stepping == engine) {
+                    stepping.endStep();
+                    runStep(stepping);
                 }
             });
         }
     }
 
     /** One answer as it is made. */
-    private final class Answer implements Engine.Output {
-        private final Ask ask;
+    private final class GeneratedAnswer implements Engine.TokenListener {
+        private final CompletionRequest request;
         private final Exchange exchange;
-        private final Engine made = engine;
+        private final Engine servingEngine = engine;
         private final Engine.Sequence sequence;
-        private final CRC32C sum = new CRC32C();
-        private final StringBuilder text = new StringBuilder();
-        private boolean over;
-        private long struckAt = -1;
-        private long wroteAt = -1;
-
-        Answer(Ask ask, Exchange exchange) {
-            this.ask = ask;
+        private final CRC32C checksum = new CRC32C();
+        private final StringBuilder bodyText = new StringBuilder();
+        private boolean finished;
+        private long faultInjectedAt = -1;
+        private long lastWriteAt = -1;
+
+        GeneratedAnswer(CompletionRequest request, Exchange exchange) {
+            this.request = request;
             this.exchange = exchange;
-            this.sequence =
-                    new Engine.Sequence(ask.session(), ask.prefix(), ask.prompt(), ask.prefixLength(), ask.out(), this);
+            this.sequence = new Engine.Sequence(
+                    request.session(),
+                    request.prefix(),
+                    request.promptTokens(),
+                    request.prefixTokens(),
+                    request.outputTokens(),
+                    this);
         }
 
-        void cancelled() {
-            if (struckAt >= 0) {
-                detected.accept(timers.now() - struckAt);
+        void onConnectionClosed() {
+            if (faultInjectedAt >= 0) {
+                detectionListener.accept(timers.now() - faultInjectedAt);
             }
-            if (!over) {
-                over = true;
-                if (struckAt < 0 && wroteAt >= 0) {
-                    called.add(timers.now() - wroteAt);
+            if (!finished) {
+                finished = true;
+                if (faultInjectedAt < 0 && lastWriteAt >= 0) {
+                    cancelledSilencesNanos.add(timers.now() - lastWriteAt);
                 }
-                made.cancel(sequence);
-                rules.ended(timers.now(), ask.id(), id, false, 0);
+                servingEngine.cancel(sequence);
+                rules.onAttemptEnded(timers.now(), request.requestId(), id, false, 0);
             }
         }
 
         @Override
-        public void token(boolean last) {
-            if (over) {
+        public void onToken(boolean last) {
+            if (finished) {
                 return;
             }
-            if (sequence.made() > 1 && sequence.made() % EVENT != 0 && !last) {
+            if (sequence.generatedTokens() > 1 && sequence.generatedTokens() % TOKENS_PER_EVENT != 0 && !last) {
                 return;
             }
-            String words = id + '.' + sequence.made() + ' ' + "x".repeat(ask.pad());
-            if (ask.stream()) {
-                String head = sequence.made() == 1 ? STREAM_HEAD : "";
-                String events = speech.text(sequence, words, last) + (last ? speech.end(sequence) : "");
+            String content = id + '.' + sequence.generatedTokens() + ' ' + "x".repeat(request.paddingBytes());
+            if (request.streaming()) {
+                String head = sequence.generatedTokens() == 1 ? STREAM_RESPONSE_HEAD : "";
+                String events =
+                        apiFormat.textEvents(sequence, content, last) + (last ? apiFormat.endEvents(sequence) : "");
                 byte[] bytes = events.getBytes(StandardCharsets.UTF_8);
-                sum.update(bytes);
+                checksum.update(bytes);
                 write(
                         head + Integer.toHexString(bytes.length) + "\r\n" + events + "\r\n" + (last ? "0\r\n\r\n" : ""),
                         last);
             } else {
-                text.append(words);
+                bodyText.append(content);
                 if (last) {
-                    String body = speech.whole(sequence, text.toString());
-                    sum.update(body.getBytes(StandardCharsets.UTF_8));
+                    String body = apiFormat.completeBody(sequence, bodyText.toString());
+                    checksum.update(body.getBytes(StandardCharsets.UTF_8));
                     write(
                             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
                                     + "\r\n\r\n" + body,
@@ -343,21 +351,21 @@
         }
 
         private void write(String bytes, boolean last) {
-            over = last;
+            finished = last;
             if (last) {
-                rules.ended(timers.now(), ask.id(), id, true, sum.getValue());
+                rules.onAttemptEnded(timers.now(), request.requestId(), id, true, checksum.getValue());
             }
             exchange.write(bytes);
-            wroteAt = timers.now();
-            if (struckAt < 0 && exchange.isSpoilt()) {
-                struckAt = timers.now();
+            lastWriteAt = timers.now();
+            if (faultInjectedAt < 0 && exchange.isFaultInjected()) {
+                faultInjectedAt = timers.now();
             }
             if (last) {
-                answerLength = exchange.over();
-                headLength = ask.stream() ? STREAM_HEAD.length() : bytes.indexOf("\r\n\r\n") + 4;
-                answeredAt = timers.now();
-                if (struckAt < 0) {
-                    exchange.whenClosed(() -> {});
+                lastResponseBytes = exchange.endResponse();
+                lastHeadBytes = request.streaming() ? STREAM_RESPONSE_HEAD.length() : bytes.indexOf("\r\n\r\n") + 4;
+                lastResponseAt = timers.now();
+                if (faultInjectedAt < 0) {
+                    exchange.setCloseListener(() -> {});
                 }
             }
         }
--- a/lab/src/main/java/fawnlb/lab/net/Fault.java
+++ b/lab/src/main/java/fawnlb/lab/net/Fault.java
@@ -1,10 +1,10 @@
 package fawnlb.lab.net;
 
 /**
- * What is done to the bytes of one answer. {@code at}: how many bytes of the answer, its head included, come before it
- * strikes; {@code pause}: nanoseconds, where the answer goes on.
+ * What is done to the bytes of one answer. {@code offset}: how many bytes of the answer, its head included, come before
+ * it strikes; {@code pauseNanos}: nanoseconds, where the answer goes on.
  */
-public record Fault(Kind kind, int at, long pause) {
+public record Fault(Kind kind, int offset, long pauseNanos) {
 
     /** What can be done to an answer's bytes. */
     public enum Kind {
@@ -21,28 +21,28 @@
         /** Bytes that no dialect has, between those of the answer. */
         GARBAGE(true),
         /** A byte is left out, so that what follows does not fit the size that was announced. */
-        WRONG_SIZE(true),
+        MISSING_BYTE(true),
         /** From here on one byte at a time. */
-        DRIP(true),
+        BYTE_AT_A_TIME(true),
         /** All of it at once at the end. */
-        BURST(false),
+        BUFFERED_TO_END(false),
         /** A second answer right behind. */
-        SECOND(false);
+        DUPLICATE_RESPONSE(false);
 
-        private final boolean placed;
+        private final boolean positional;
 
-        Kind(boolean placed) {
-            this.placed = placed;
+        Kind(boolean positional) {
+            this.positional = positional;
         }
 
         /** Whether it matters where it strikes. */
-        public boolean placed() {
-            return placed;
+        public boolean isPositional() {
+            return positional;
         }
 
         /** Whether the answer is whole for all that. */
-        public boolean harmless() {
-            return this == PAUSE || this == DRIP || this == BURST || this == SECOND;
+        public boolean isHarmless() {
+            return this == PAUSE || this == BYTE_AT_A_TIME || this == BUFFERED_TO_END || this == DUPLICATE_RESPONSE;
         }
     }
 }
--- /dev/null
+++ b/lab/src/main/java/fawnlb/lab/net/FaultInjector.java
@@ -0,0 +1,128 @@
+package fawnlb.lab.net;
+
+import fawnlb.lab.net.HttpServer.Exchange;
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.concurrent.TimeUnit;
+import org.xnio.XnioExecutor;
+
+/** Carries out a fault on the bytes of one answer, on their way to the connection. */
+final class FaultInjector {
+    private static final byte[] GARBAGE_BYTES = {
+        0, 1, 2, (byte) 0xff, (byte) 0xfe, 3, 4, 5, (byte) 0xc0, 6, 7, 8, 0, 0, 1, 2
+    };
+    private static final long BYTE_INTERVAL_MILLIS = 1;
+    private static final String DUPLICATE_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond";
+
+    private final Exchange exchange;
+    private final Fault fault;
+    private final XnioExecutor executor;
+    private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
+    private int forwardedBytes;
+    private boolean injected;
+    private boolean discarding;
+    private boolean buffering;
+    private boolean responseEnded;
+
+    FaultInjector(Exchange exchange, Fault fault, XnioExecutor executor) {
+        this.exchange = exchange;
+        this.fault = fault;
+        this.executor = executor;
+        buffering = fault.kind() == Fault.Kind.BUFFERED_TO_END;
+    }
+
+    boolean isInjected() {
+        return injected;
+    }
+
+    void write(byte[] bytes) {
+        if (discarding) {
+            return;
+        }
+        if (injected || buffering || !fault.kind().isPositional()) {
+            forward(bytes);
+            return;
+        }
+        int bytesBeforeFault = Math.min(bytes.length, fault.offset() - forwardedBytes);
+        forwardedBytes += bytesBeforeFault;
+        forward(Arrays.copyOf(bytes, bytesBeforeFault));
+        if (bytesBeforeFault < bytes.length) {
+            injected = true;
+            forward(Arrays.copyOfRange(bytes, bytesBeforeFault + inject(), bytes.length));
+        }
+    }
+
+    private void forward(byte[] bytes) {
+        if (bytes.length == 0 || discarding) {
+            return;
+        }
+        if (buffering) {
+            buffered.writeBytes(bytes);
+        } else {
+            exchange.send(bytes);
+        }
+    }
+
+    /** How many bytes more than those before it are left out. */
+    private int inject() {
+        switch (fault.kind()) {
+            case STALL -> discarding = true;
+            case PAUSE -> {
+                buffering = true;
+                executor.executeAfter(this::flushBuffered, fault.pauseNanos(), TimeUnit.NANOSECONDS);
+            }
+            case CLOSE -> {
+                discarding = true;
+                exchange.closeWhenFlushed();
+            }
+            case RESET -> {
+                discarding = true;
+                exchange.reset();
+            }
+            case HALF_CLOSE -> {
+                discarding = true;
+                exchange.shutdownOutput();
+            }
+            case GARBAGE -> exchange.send(GARBAGE_BYTES);
+            case MISSING_BYTE -> {
+                return 1;
+            }
+            case BYTE_AT_A_TIME -> {
+                buffering = true;
+                executor.executeAfter(this::sendNextByte, BYTE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+            }
+            default -> throw new IllegalStateException(fault.kind() + " strikes nowhere");
+        }
+        return 0;
+    }
+
+    private void sendNextByte() {
+        byte[] bytes = buffered.toByteArray();
+        if (bytes.length > 0) {
+            exchange.send(new byte[] {bytes[0]});
+            buffered.reset();
+            buffered.write(bytes, 1, bytes.length - 1);
+        }
+        if (exchange.isOpen() && (bytes.length > 1 || !responseEnded)) {
+            executor.executeAfter(this::sendNextByte, BYTE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void flushBuffered() {
+        buffering = false;
+        exchange.send(buffered.toByteArray());
+        buffered.reset();
+    }
+
+    /** The answer's last byte was written. */
+    void endResponse() {
+        responseEnded = true;
+        injected |= !fault.kind().isPositional();
+        if (fault.kind() == Fault.Kind.BUFFERED_TO_END) {
+            flushBuffered();
+        } else if (fault.kind() == Fault.Kind.DUPLICATE_RESPONSE) {
+            exchange.send(DUPLICATE_RESPONSE.getBytes(StandardCharsets.US_ASCII));
+        }
+    }
+}
--- a/lab/src/main/java/fawnlb/lab/net/HttpServer.java
+++ b/lab/src/main/java/fawnlb/lab/net/HttpServer.java
@@ -31,17 +31,17 @@
  * wrong one pass. All of it runs on the worker's one I/O thread.
  */
 public final class HttpServer implements Closeable {
-    private static final int BACKLOG = 512;
+    private static final int ACCEPT_BACKLOG = 512;
     /** More than an accept queue of one takes. */
-    private static final int FILLERS = 4;
+    private static final int QUEUE_FILLING_CONNECTIONS = 4;
 
     private final XnioWorker worker;
     private final Handler handler;
-    private final Set<Exchange> open = new HashSet<>();
+    private final Set<Exchange> openExchanges = new HashSet<>();
     private final InetSocketAddress address;
-    private AcceptingChannel<StreamConnection> server;
-    private ServerSocketChannel full;
-    private final List<SocketChannel> fillers = new ArrayList<>();
+    private AcceptingChannel<StreamConnection> acceptor;
+    private ServerSocketChannel unservedListener;
+    private final List<SocketChannel> queueFillers = new ArrayList<>();
 
     /** A request as it came; header names in lower case. */
     public record Request(String method, String path, Map<String, String> headers, byte[] body) {
@@ -52,16 +52,17 @@
 
     /** Hears of connections and requests, on the I/O thread. */
     public interface Handler {
-        default void connected(Exchange exchange) {}
+        default void onConnected(Exchange exchange) {}
 
-        void request(Request request, Exchange exchange);
+        void onRequest(Request request, Exchange exchange);
     }
 
     /** Listens on this loopback address; port 0 for any. */
     public HttpServer(XnioWorker worker, InetSocketAddress address, Handler handler) throws IOException {
         this.worker = worker;
         this.handler = handler;
-        this.address = address.getPort() != 0 ? address : new InetSocketAddress(address.getAddress(), Ports.free());
+        this.address =
+                address.getPort() != 0 ? address : new InetSocketAddress(address.getAddress(), Ports.findFreePort());
         listen();
     }
 
@@ -70,86 +71,86 @@
     }
 
     private void listen() throws IOException {
-        server = worker.createStreamConnectionServer(
+        acceptor = worker.createStreamConnectionServer(
                 address,
                 ChannelListeners.openListenerAdapter((StreamConnection c) -> {
                     Exchange exchange = new Exchange(c);
-                    open.add(exchange);
-                    handler.connected(exchange);
+                    openExchanges.add(exchange);
+                    handler.onConnected(exchange);
                 }),
                 OptionMap.builder()
                         .set(Options.TCP_NODELAY, true)
                         .set(Options.REUSE_ADDRESSES, true)
-                        .set(Options.BACKLOG, BACKLOG)
+                        .set(Options.BACKLOG, ACCEPT_BACKLOG)
                         .getMap());
-        server.resumeAccepts();
+        acceptor.resumeAccepts();
     }
 
     /** New connections are refused from now on. */
-    public void refuse() {
-        IoUtils.safeClose(server);
-        server = null;
+    public void stopListening() {
+        IoUtils.safeClose(acceptor);
+        acceptor = null;
     }
 
     /**
      * New connections never come up from now on: the port stays open behind an accept queue that is full, where Linux
      * drops what comes.
      */
-    public void hang() throws IOException {
-        refuse();
-        full = ServerSocketChannel.open()
+    public void dropNewConnections() throws IOException {
+        stopListening();
+        unservedListener = ServerSocketChannel.open()
                 .setOption(StandardSocketOptions.SO_REUSEADDR, true)
                 .bind(address, 1);
-        for (int i = 0; i < FILLERS; i++) {
+        for (int i = 0; i < QUEUE_FILLING_CONNECTIONS; i++) {
             SocketChannel filler = SocketChannel.open();
             filler.configureBlocking(false);
             filler.connect(address);
-            fillers.add(filler);
+            queueFillers.add(filler);
         }
     }
 
-    private void unhang() {
-        IoUtils.safeClose(full);
-        fillers.forEach(IoUtils::safeClose);
-        fillers.clear();
+    private void closeUnservedListener() {
+        IoUtils.safeClose(unservedListener);
+        queueFillers.forEach(IoUtils::safeClose);
+        queueFillers.clear();
     }
 
     /** Listens again where it did. */
-    public void accept() throws IOException {
-        unhang();
-        if (server == null) {
+    public void resumeListening() throws IOException {
+        closeUnservedListener();
+        if (acceptor == null) {
             listen();
         }
     }
 
     /** Resets every open connection. */
-    public void resetAll() {
-        Set.copyOf(open).forEach(Exchange::reset);
+    public void resetConnections() {
+        Set.copyOf(openExchanges).forEach(Exchange::reset);
     }
 
     @Override
     public void close() {
-        refuse();
-        unhang();
-        resetAll();
+        stopListening();
+        closeUnservedListener();
+        resetConnections();
     }
 
     /** One connection and the request on it. */
     public final class Exchange {
         private final StreamConnection channel;
-        private final Deque<ByteBuffer> out = new ArrayDeque<>();
-        private ByteBuffer in = ByteBuffer.allocate(4096);
-        private Runnable onClosed = () -> {};
-        private boolean closing;
+        private final Deque<ByteBuffer> outbound = new ArrayDeque<>();
+        private ByteBuffer inbound = ByteBuffer.allocate(4096);
+        private Runnable closeListener = () -> {};
+        private boolean closeAfterFlush;
         private boolean closed;
-        private boolean deaf;
-        private Spoiler spoiler;
-        private int written;
+        private boolean silent;
+        private FaultInjector faultInjector;
+        private int responseBytes;
 
         private Exchange(StreamConnection channel) {
             this.channel = channel;
-            channel.getSourceChannel().setReadListener(c -> readable());
-            channel.getSinkChannel().setWriteListener(c -> writable());
+            channel.getSourceChannel().setReadListener(c -> onReadable());
+            channel.getSinkChannel().setWriteListener(c -> onWritable());
             channel.getSourceChannel().resumeReads();
         }
 
@@ -158,14 +159,14 @@
         }
 
         /** Runs once when the other side, or this one, has closed the connection. */
-        public void whenClosed(Runnable task) {
-            onClosed = task;
+        public void setCloseListener(Runnable listener) {
+            closeListener = listener;
         }
 
         /** From here on nothing is read or written, and the connection stays open. */
-        public void fallSilent() {
-            deaf = true;
-            out.clear();
+        public void stopCommunicating() {
+            silent = true;
+            outbound.clear();
             channel.getSourceChannel().suspendReads();
             channel.getSinkChannel().suspendWrites();
         }
@@ -175,44 +176,44 @@
         }
 
         public void write(byte[] bytes) {
-            written += bytes.length;
-            if (spoiler != null) {
-                spoiler.write(bytes);
+            responseBytes += bytes.length;
+            if (faultInjector != null) {
+                faultInjector.write(bytes);
             } else {
-                put(bytes);
+                send(bytes);
             }
         }
 
         /** What is done to the bytes of the next answer; none of it to the one after. */
-        public void spoil(Fault fault) {
-            spoiler = fault == null ? null : new Spoiler(this, fault, worker.getIoThread());
-            written = 0;
+        public void injectFault(Fault fault) {
+            faultInjector = fault == null ? null : new FaultInjector(this, fault, worker.getIoThread());
+            responseBytes = 0;
         }
 
         /** Told when an answer that may be spoilt is whole: its length in bytes, spoilt or not. */
-        public int over() {
-            Spoiler carried = spoiler;
-            spoiler = null;
-            if (carried != null) {
-                carried.over();
+        public int endResponse() {
+            FaultInjector injector = faultInjector;
+            faultInjector = null;
+            if (injector != null) {
+                injector.endResponse();
             }
-            return written;
+            return responseBytes;
         }
 
         /** Whether the fault of the answer that is being written has struck. */
-        public boolean isSpoilt() {
-            return spoiler != null && spoiler.struck();
+        public boolean isFaultInjected() {
+            return faultInjector != null && faultInjector.isInjected();
         }
 
-        void put(byte[] bytes) {
-            if (!closed && !deaf) {
-                out.add(ByteBuffer.wrap(bytes));
-                writable();
+        void send(byte[] bytes) {
+            if (!closed && !silent) {
+                outbound.add(ByteBuffer.wrap(bytes));
+                onWritable();
             }
         }
 
         /** Ends the sending; the other side's is still read. */
-        void endOutput() {
+        void shutdownOutput() {
             try {
                 channel.getSinkChannel().shutdownWrites();
                 channel.getSinkChannel().flush();
@@ -222,9 +223,9 @@
         }
 
         /** Closes when all has been written. */
-        public void closeAfter() {
-            closing = true;
-            writable();
+        public void closeWhenFlushed() {
+            closeAfterFlush = true;
+            onWritable();
         }
 
         /** Closes with a reset in place of an end. */
@@ -240,27 +241,27 @@
         public void close() {
             if (!closed) {
                 closed = true;
-                open.remove(this);
+                openExchanges.remove(this);
                 IoUtils.safeClose(channel);
-                Runnable task = onClosed;
-                onClosed = () -> {};
-                task.run();
+                Runnable listener = closeListener;
+                closeListener = () -> {};
+                listener.run();
             }
         }
 
-        private void writable() {
+        private void onWritable() {
             try {
-                while (!out.isEmpty()) {
-                    if (channel.getSinkChannel().write(out.peek()) == 0) {
+                while (!outbound.isEmpty()) {
+                    if (channel.getSinkChannel().write(outbound.peek()) == 0) {
                         channel.getSinkChannel().resumeWrites();
                         return;
                     }
-                    if (!out.peek().hasRemaining()) {
-                        out.poll();
+                    if (!outbound.peek().hasRemaining()) {
+                        outbound.poll();
                     }
                 }
                 channel.getSinkChannel().suspendWrites();
-                if (closing) {
+                if (closeAfterFlush) {
                     close();
                 }
             } catch (IOException e) {
@@ -268,34 +269,34 @@
             }
         }
 
-        private void readable() {
+        private void onReadable() {
             try {
-                while (!closed && !deaf) {
-                    if (!in.hasRemaining()) {
-                        in = ByteBuffer.allocate(in.capacity() * 2).put(in.flip());
+                while (!closed && !silent) {
+                    if (!inbound.hasRemaining()) {
+                        inbound = ByteBuffer.allocate(inbound.capacity() * 2).put(inbound.flip());
                     }
-                    int n = channel.getSourceChannel().read(in);
-                    if (n < 0) {
+                    int count = channel.getSourceChannel().read(inbound);
+                    if (count < 0) {
                         close();
                         return;
                     }
-                    if (n == 0) {
+                    if (count == 0) {
                         return;
                     }
-                    parse();
+                    parseRequest();
                 }
             } catch (IOException e) {
                 close();
             }
         }
 
-        private void parse() {
-            String text = new String(in.array(), 0, in.position(), StandardCharsets.ISO_8859_1);
-            int end = text.indexOf("\r\n\r\n");
-            if (end < 0) {
+        private void parseRequest() {
+            String text = new String(inbound.array(), 0, inbound.position(), StandardCharsets.ISO_8859_1);
+            int headEnd = text.indexOf("\r\n\r\n");
+            if (headEnd < 0) {
                 return;
             }
-            String[] lines = text.substring(0, end).split("\r\n");
+            String[] lines = text.substring(0, headEnd).split("\r\n");
             Map<String, String> headers = new HashMap<>();
             for (int i = 1; i < lines.length; i++) {
                 int colon = lines[i].indexOf(':');
@@ -303,17 +304,17 @@
                         lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
                         lines[i].substring(colon + 1).trim());
             }
-            int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-            int whole = end + 4 + length;
-            if (in.position() < whole) {
+            int bodyLength = Integer.parseInt(headers.getOrDefault("content-length", "0"));
+            int requestEnd = headEnd + 4 + bodyLength;
+            if (inbound.position() < requestEnd) {
                 return;
             }
-            byte[] body = new byte[length];
-            System.arraycopy(in.array(), end + 4, body, 0, length);
-            in.limit(in.position()).position(whole);
-            in.compact();
-            String[] words = lines[0].split(" ");
-            handler.request(new Request(words[0], words[1], headers, body), this);
+            byte[] body = new byte[bodyLength];
+            System.arraycopy(inbound.array(), headEnd + 4, body, 0, bodyLength);
+            inbound.limit(inbound.position()).position(requestEnd);
+            inbound.compact();
+            String[] requestLine = lines[0].split(" ");
+            handler.onRequest(new Request(requestLine[0], requestLine[1], headers, body), this);
         }
     }
 }
--- a/lab/src/main/java/fawnlb/lab/net/Ports.java
+++ b/lab/src/main/java/fawnlb/lab/net/Ports.java
@@ -8,9 +8,9 @@
 
 /** Ports for servers of a run. */
 public final class Ports {
-    private static final int FIRST = 15_000;
-    private static final int COUNT = 17_000;
-    private static final int MAX_TRIED = 1000;
+    private static final int FIRST_PORT = 15_000;
+    private static final int PORT_COUNT = 17_000;
+    private static final int MAX_ATTEMPTS = 1000;
 
     private Ports() {}
 
@@ -18,15 +18,15 @@
      * A port that is free at the moment, and not one of those that Linux gives to outgoing connections: while a server
      * is down, any of these would take its address.
      */
-    public static int free() throws IOException {
-        for (int tries = 0; tries < MAX_TRIED; tries++) {
-            int port = FIRST + ThreadLocalRandom.current().nextInt(COUNT);
-            try (ServerSocket any = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                return any.getLocalPort();
+    public static int findFreePort() throws IOException {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+            int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
+            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+                return socket.getLocalPort();
             } catch (BindException e) {
                 // Somebody has it.
             }
         }
-        throw new IOException("no free port from " + FIRST + " on");
+        throw new IOException("no free port from " + FIRST_PORT + " on");
     }
 }
--- a/lab/src/main/java/fawnlb/lab/node/NodeProcess.java
+++ b/lab/src/main/java/fawnlb/lab/node/NodeProcess.java
@@ -19,37 +19,42 @@
 
 /** A real node in a process of its own, started as the deploy file says. */
 public final class NodeProcess implements AutoCloseable {
-    private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"$");
+    private static final Pattern RUN_COMMAND = Pattern.compile("(?m)^run = \"(.*)\"$");
 
-    private static final Pattern RESIDENT = Pattern.compile("(?m)^VmRSS:\\s*(\\d+) kB$");
-    private static final Pattern PEAK = Pattern.compile("(?m)^VmHWM:\\s*(\\d+) kB$");
+    private static final Pattern RESIDENT_MEMORY = Pattern.compile("(?m)^VmRSS:\\s*(\\d+) kB$");
+    private static final Pattern PEAK_MEMORY = Pattern.compile("(?m)^VmHWM:\\s*(\\d+) kB$");
     /**
      * Of a process's line in /proc, behind its name: where its ticks as user and as system stand; a tick is 10 ms on
      * Linux.
      */
-    private static final int USER_TICKS = 11;
+    private static final int USER_TICKS_FIELD = 11;
 
-    private static final int SYSTEM_TICKS = 12;
-    private static final double TICK_SECONDS = 0.01;
+    private static final int SYSTEM_TICKS_FIELD = 12;
+    private static final double SECONDS_PER_TICK = 0.01;
 
     /** Classes of request: one that may be repeated, and one that may run once alone. */
-    public static final String SAFE = "advisor-chat";
+    public static final String IDEMPOTENT_CLASS = "advisor-chat";
 
-    public static final String ONCE = "ledger-entry";
+    public static final String NON_IDEMPOTENT_CLASS = "ledger-entry";
 
     private final String name;
     private final InetSocketAddress address;
-    private final Path folder;
+    private final Path directory;
     private Map<String, String> environment = Map.of();
     private Process process;
 
     /** Which of how many nodes it is, where its roster is, and the rules' figures that it is told. */
-    public record Setting(int number, int nodes, InetSocketAddress roster, List<String> zones, List<String> kinds) {}
-
-    public NodeProcess(String name, Path folder) throws IOException {
+    public record NodeConfiguration(
+            int nodeIndex,
+            int nodeCount,
+            InetSocketAddress discoveryAddress,
+            List<String> zones,
+            List<String> profiles) {}
+
+    public NodeProcess(String name, Path directory) throws IOException {
         this.name = name;
-        this.folder = folder;
-        this.address = new InetSocketAddress("127.0.0.1", Ports.free());
+        this.directory = directory;
+        this.address = new InetSocketAddress("127.0.0.1", Ports.findFreePort());
     }
 
     public String name() {
@@ -61,42 +66,47 @@
     }
 
     /** Where the repository is: the first folder above this one that has a deploy file. */
-    public static Path root() throws IOException {
-        for (Path at = Path.of("").toAbsolutePath(); at != null; at = at.getParent()) {
-            if (Files.exists(at.resolve("deploy/balancer.toml"))) {
-                return at;
+    public static Path findRepositoryRoot() throws IOException {
+        for (Path candidate = Path.of("").toAbsolutePath(); candidate != null; candidate = candidate.getParent()) {
+            if (Files.exists(candidate.resolve("deploy/balancer.toml"))) {
+                return candidate;
             }
         }
         throw new IOException("no deploy/balancer.toml here or above: run this inside the repository");
     }
 
     /** The command that starts a node. */
-    public static String runLine() throws IOException {
-        Matcher line = RUN.matcher(Files.readString(root().resolve("deploy/balancer.toml")));
+    public static String readRunCommand() throws IOException {
+        Matcher line = RUN_COMMAND.matcher(Files.readString(findRepositoryRoot().resolve("deploy/balancer.toml")));
         if (!line.find()) {
             throw new IOException("deploy/balancer.toml has no 'run'");
         }
         return line.group(1);
     }
 
-    /** Starts it; {@code files}: texts of operators' files by the option that names them, such as {@code streams}. */
-    public void start(Setting setting, Map<String, String> files) throws IOException {
-        start(runLine(), setting, files);
+    /**
+     * Starts it; {@code operatorFiles}: texts of operators' files by the option that names them, such as
+     * {@code streams}.
+     */
+    public void start(NodeConfiguration configuration, Map<String, String> operatorFiles) throws IOException {
+        start(readRunCommand(), configuration, operatorFiles);
     }
 
     /** Starts it by another command. */
-    public void start(String command, Setting setting, Map<String, String> files) throws IOException {
-        Path config = folder.resolve(name + ".json");
-        writeConfig(config, setting);
-        StringBuilder line = new StringBuilder(command + " --config " + config);
-        for (Map.Entry<String, String> text : files.entrySet()) {
-            Path file = Files.writeString(folder.resolve(name + '-' + text.getKey() + ".json"), text.getValue());
-            line.append(" --").append(text.getKey()).append(' ').append(file);
+    public void start(String command, NodeConfiguration configuration, Map<String, String> operatorFiles)
+            throws IOException {
+        Path config = directory.resolve(name + ".json");
+        writeConfig(config, configuration);
+        StringBuilder commandLine = new StringBuilder(command + " --config " + config);
+        for (Map.Entry<String, String> operatorFile : operatorFiles.entrySet()) {
+            Path file = Files.writeString(
+                    directory.resolve(name + '-' + operatorFile.getKey() + ".json"), operatorFile.getValue());
+            commandLine.append(" --").append(operatorFile.getKey()).append(' ').append(file);
         }
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", line.toString())
-                .directory(root().toFile())
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", commandLine.toString())
+                .directory(findRepositoryRoot().toFile())
                 .redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(new File(folder.toFile(), name + ".log")));
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(new File(directory.toFile(), name + ".log")));
         builder.environment().putAll(environment);
         process = builder.start();
     }
@@ -107,13 +117,13 @@
     }
 
     /** Sends a signal by its name. */
-    public void signal(String name) throws IOException {
-        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
+    public void sendSignal(String signalName) throws IOException {
+        new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid())).start();
     }
 
     /** Waits for its end; its status, -1 if it still runs. */
-    public int awaitEnd(long millis) throws InterruptedException {
-        return process.waitFor(millis, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
+    public int awaitExit(long timeoutMillis) throws InterruptedException {
+        return process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
     }
 
     public long pid() {
@@ -121,16 +131,16 @@
     }
 
     /** Bytes of memory that the process has at the moment, as Linux counts them. */
-    public long memory() throws IOException {
-        return status(RESIDENT);
+    public long residentBytes() throws IOException {
+        return readStatusBytes(RESIDENT_MEMORY);
     }
 
     /** The most that it has had. */
-    public long peakMemory() throws IOException {
-        return status(PEAK);
+    public long peakResidentBytes() throws IOException {
+        return readStatusBytes(PEAK_MEMORY);
     }
 
-    private long status(Pattern line) throws IOException {
+    private long readStatusBytes(Pattern line) throws IOException {
         Matcher found = line.matcher(Files.readString(Path.of("/proc/" + process.pid() + "/status")));
         return found.find() ? Long.parseLong(found.group(1)) * 1024 : 0;
     }
@@ -139,11 +149,12 @@
     public double cpuSeconds() throws IOException {
         String line = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
         String[] fields = line.substring(line.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS])) * TICK_SECONDS;
+        return (Long.parseLong(fields[USER_TICKS_FIELD]) + Long.parseLong(fields[SYSTEM_TICKS_FIELD]))
+                * SECONDS_PER_TICK;
     }
 
     /** Descriptors that are open in the process. */
-    public int descriptors() {
+    public int openDescriptors() {
         String[] open = new File("/proc/" + process.pid() + "/fd").list();
         return open == null ? 0 : open.length;
     }
@@ -167,30 +178,30 @@
     }
 
     /** What its log says. */
-    public String log() throws IOException {
-        return Files.readString(folder.resolve(name + ".log"));
+    public String readLog() throws IOException {
+        return Files.readString(directory.resolve(name + ".log"));
     }
 
-    private void writeConfig(Path file, Setting setting) throws IOException {
+    private void writeConfig(Path file, NodeConfiguration configuration) throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             out.writeStartObject();
             out.writeStringField("name", name);
-            out.writeStringField("listen", text(address));
-            out.writeStringField("discovery", text(setting.roster()));
-            out.writeStringField("seed", Integer.toHexString(setting.number() + 1));
+            out.writeStringField("listen", formatAddress(address));
+            out.writeStringField("discovery", formatAddress(configuration.discoveryAddress()));
+            out.writeStringField("seed", Integer.toHexString(configuration.nodeIndex() + 1));
             out.writeObjectFieldStart("limits");
             out.writeNumberField("sockets", 4096);
             out.writeEndObject();
             out.writeObjectFieldStart("settings");
-            out.writeNumberField("my-number", setting.number());
-            out.writeNumberField("replicas-of-me", setting.nodes());
+            out.writeNumberField("my-number", configuration.nodeIndex());
+            out.writeNumberField("replicas-of-me", configuration.nodeCount());
             out.writeStringField("registry-mode", "subscribe");
             out.writeNumberField("tick-ns", 5_000_000);
-            strings(out, "localities", setting.zones());
-            strings(out, "host-types", setting.kinds());
+            writeStrings(out, "localities", configuration.zones());
+            writeStrings(out, "host-types", configuration.profiles());
             writeClasses(out);
             out.writeFieldName("limits");
-            object(
+            writeObject(
                     out,
                     Map.of(
                             "most-tries",
@@ -208,7 +219,7 @@
                             "conn-idle-ns",
                             15_000_000_000L));
             out.writeFieldName("rules");
-            object(
+            writeObject(
                     out,
                     Map.of(
                             "ask-within-ns",
@@ -238,14 +249,14 @@
 
     private static void writeClasses(JsonGenerator out) throws IOException {
         out.writeArrayFieldStart("profiles");
-        for (String[] named : new String[][] {{SAFE, "safe"}, {ONCE, "unsafe"}}) {
-            object(
+        for (String[] requestClass : new String[][] {{IDEMPOTENT_CLASS, "safe"}, {NON_IDEMPOTENT_CLASS, "unsafe"}}) {
+            writeObject(
                     out,
                     Map.of(
                             "name",
-                            named[0],
+                            requestClass[0],
                             "effect",
-                            named[1],
+                            requestClass[1],
                             "group",
                             "all",
                             "on-time-ns",
@@ -262,15 +273,15 @@
         out.writeEndArray();
     }
 
-    private static void strings(JsonGenerator out, String name, List<String> words) throws IOException {
+    private static void writeStrings(JsonGenerator out, String name, List<String> values) throws IOException {
         out.writeArrayFieldStart(name);
-        for (String word : words) {
-            out.writeString(word);
+        for (String value : values) {
+            out.writeString(value);
         }
         out.writeEndArray();
     }
 
-    private static void object(JsonGenerator out, Map<String, Object> fields) throws IOException {
+    private static void writeObject(JsonGenerator out, Map<String, Object> fields) throws IOException {
         out.writeStartObject();
         for (Map.Entry<String, Object> field : fields.entrySet()) {
             out.writeFieldName(field.getKey());
@@ -279,7 +290,7 @@
         out.writeEndObject();
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String formatAddress(InetSocketAddress address) {
         return address.getHostString() + ':' + address.getPort();
     }
 
--- a/lab/src/main/java/fawnlb/lab/rules/RuleChecker.java
+++ b/lab/src/main/java/fawnlb/lab/rules/RuleChecker.java
@@ -15,148 +15,153 @@
  */
 public final class RuleChecker {
     /** A connection's end and the next attempt travel on two connections: the end may be read a little later. */
-    private static final long CROSSING = 50_000_000;
+    private static final long EVENT_ORDER_TOLERANCE_NANOS = 50_000_000;
     /** An attempt that begins so long after its client has closed breaks a rule. */
-    private static final long LEFT = 100_000_000;
+    private static final long DISCONNECT_REACTION_NANOS = 100_000_000;
     /** What a server is told of the time that is left may be so much more than it is. */
-    private static final long DEADLINE_SLACK = 150_000_000;
+    private static final long DEADLINE_TOLERANCE_NANOS = 150_000_000;
     /** Figures of the rules: attempts of a request, and how long after a drain was told work may still come. */
-    private final int attempts;
+    private final int maxAttempts;
 
-    private final long grace;
+    private final long drainGraceNanos;
 
-    private final Map<String, Asked> asked = new HashMap<>();
-    private final Map<String, Long> told = new HashMap<>();
-    private final Set<String> excused = new HashSet<>();
-    private final Map<Rule, List<String>> broken = new TreeMap<>();
+    private final Map<String, TrackedRequest> requests = new HashMap<>();
+    private final Map<String, Long> drainNotifiedAt = new HashMap<>();
+    private final Set<String> excusedNodes = new HashSet<>();
+    private final Map<Rule, List<String>> violations = new TreeMap<>();
 
     /** The rules, by the names under which they are reported. */
     public enum Rule {
-        ONE_ANSWER,
-        ONE_ATTEMPT_AT_ONCE,
-        SIX_ATTEMPTS,
-        DRAIN_KEPT,
-        NO_COLD_BOX_PUSHED_OVER,
-        MADE_BY_A_BOX,
-        IN_TIME,
-        NOT_FOR_THOSE_WHO_LEFT,
-        DEADLINE_TOLD,
-        RUN_ONCE
+        EXACTLY_ONE_RESPONSE,
+        NO_CONCURRENT_ATTEMPTS,
+        ATTEMPT_LIMIT,
+        NO_ATTEMPT_TO_DRAINING_BACKEND,
+        NO_OVERLOAD_IN_SLOW_START,
+        RESPONSE_MATCHES_BACKEND,
+        RESPONSE_BY_DEADLINE,
+        NO_ATTEMPT_AFTER_DISCONNECT,
+        FORWARDED_DEADLINE,
+        NON_IDEMPOTENT_RUNS_ONCE
     }
 
-    private static final class Asked {
+    private static final class TrackedRequest {
         final String node;
-        long deadline = Long.MAX_VALUE;
-        long leftAt = Long.MAX_VALUE;
+        long deadlineAt = Long.MAX_VALUE;
+        long disconnectedAt = Long.MAX_VALUE;
         /** It may run once alone, and has been taken by a box. */
-        boolean once;
+        boolean nonIdempotent;
 
-        boolean ran;
+        boolean executed;
         /** Its node was killed, or the client has left: nothing more is owed. */
-        boolean released;
+        boolean waived;
 
-        int answers;
+        int responses;
         int attempts;
-        String box;
-        BooleanSupplier open;
-        long overlapSince = -1;
-        final List<Long> made = new ArrayList<>();
+        String backend;
+        BooleanSupplier connectionOpen;
+        long overlapStartedAt = -1;
+        final List<Long> completedChecksums = new ArrayList<>();
 
-        Asked(String node) {
+        TrackedRequest(String node) {
             this.node = node;
         }
     }
 
-    public RuleChecker(int attempts, long grace) {
-        this.attempts = attempts;
-        this.grace = grace;
+    public RuleChecker(int maxAttempts, long drainGraceNanos) {
+        this.maxAttempts = maxAttempts;
+        this.drainGraceNanos = drainGraceNanos;
     }
 
     /** A client has written the last byte of a request to this node. */
-    public synchronized void asked(String id, String node) {
-        Asked request = new Asked(node);
-        request.released = excused.contains(node);
-        asked.put(id, request);
+    public synchronized void onRequestSent(String requestId, String node) {
+        TrackedRequest request = new TrackedRequest(node);
+        request.waived = excusedNodes.contains(node);
+        requests.put(requestId, request);
     }
 
     /** By when the client wants its answer to begin. */
-    public synchronized void wants(String id, long deadline) {
-        asked.get(id).deadline = deadline;
+    public synchronized void setDeadline(String requestId, long deadlineAt) {
+        requests.get(requestId).deadlineAt = deadlineAt;
     }
 
     /** The request's class may not be run more than once. */
-    public synchronized void runsOnce(String id) {
-        asked.get(id).once = true;
+    public synchronized void markNonIdempotent(String requestId) {
+        requests.get(requestId).nonIdempotent = true;
     }
 
     /** A box has taken the request: its effect may be there from now on. */
-    public synchronized void ran(String id) {
-        Asked request = asked.get(id);
+    public synchronized void onExecutionStarted(String requestId) {
+        TrackedRequest request = requests.get(requestId);
         if (request != null) {
-            request.ran = true;
+            request.executed = true;
         }
     }
 
     /** A client was told that trying again is harmless. */
-    public synchronized void refused(String id) {
-        Asked request = asked.get(id);
-        if (request.once && request.ran) {
-            breaks(Rule.RUN_ONCE, id + " was refused by " + request.node + " after it had run");
+    public synchronized void onRequestRejected(String requestId) {
+        TrackedRequest request = requests.get(requestId);
+        if (request.nonIdempotent && request.executed) {
+            recordViolation(
+                    Rule.NON_IDEMPOTENT_RUNS_ONCE, requestId + " was refused by " + request.node + " after it had run");
         }
     }
 
     /** A client has closed its connection before its answer had begun. */
-    public synchronized void left(long now, String id) {
-        asked.get(id).leftAt = now;
-        asked.get(id).released = true;
+    public synchronized void onClientDisconnected(long now, String requestId) {
+        requests.get(requestId).disconnectedAt = now;
+        requests.get(requestId).waived = true;
     }
 
     /** A client has waited for well over its deadline. */
-    public synchronized void late(String id) {
-        if (!asked.get(id).released) {
-            breaks(Rule.IN_TIME, id + " had no answer at its deadline from " + asked.get(id).node);
+    public synchronized void onDeadlineMissed(String requestId) {
+        if (!requests.get(requestId).waived) {
+            recordViolation(
+                    Rule.RESPONSE_BY_DEADLINE,
+                    requestId + " had no answer at its deadline from " + requests.get(requestId).node);
         }
     }
 
     /**
      * While it is on, the node's connections may break for a reason outside of it, and nothing that it takes is owed.
      */
-    public synchronized void excuse(String node, boolean on) {
-        if (on) {
-            excused.add(node);
+    public synchronized void setNodeExcused(String node, boolean excused) {
+        if (excused) {
+            excusedNodes.add(node);
         } else {
-            excused.remove(node);
+            excusedNodes.remove(node);
         }
-        release(node);
+        waiveRequestsOf(node);
     }
 
-    private void release(String node) {
-        asked.values().stream()
+    private void waiveRequestsOf(String node) {
+        requests.values().stream()
                 .filter(request -> request.node.equals(node))
-                .forEach(request -> request.released = true);
+                .forEach(request -> request.waived = true);
     }
 
     /** A node was killed outright: what it had taken goes back to its clients. */
-    public synchronized void killed(String node) {
-        release(node);
-        startedAnew(node);
+    public synchronized void onNodeKilled(String node) {
+        waiveRequestsOf(node);
+        onNodeRestarted(node);
     }
 
     /** A client has read a whole answer, or a refusal. Sum: of the events of one that was served, else 0. */
-    public synchronized void answered(String id, boolean served, long sum) {
-        Asked request = asked.get(id);
-        if (++request.answers > 1) {
-            breaks(Rule.ONE_ANSWER, id + " was answered " + request.answers + " times");
+    public synchronized void onResponseCompleted(String requestId, boolean served, long checksum) {
+        TrackedRequest request = requests.get(requestId);
+        if (++request.responses > 1) {
+            recordViolation(Rule.EXACTLY_ONE_RESPONSE, requestId + " was answered " + request.responses + " times");
         }
-        if (served && !request.made.contains(sum)) {
-            breaks(Rule.MADE_BY_A_BOX, id + " was served what no box had made");
+        if (served && !request.completedChecksums.contains(checksum)) {
+            recordViolation(Rule.RESPONSE_MATCHES_BACKEND, requestId + " was served what no box had made");
         }
     }
 
     /** A client's connection ended with no answer, though it had not left. */
-    public synchronized void lost(String id) {
-        if (!asked.get(id).released) {
-            breaks(Rule.ONE_ANSWER, id + " was taken by " + asked.get(id).node + " and not answered");
+    public synchronized void onConnectionLost(String requestId) {
+        if (!requests.get(requestId).waived) {
+            recordViolation(
+                    Rule.EXACTLY_ONE_RESPONSE,
+                    requestId + " was taken by " + requests.get(requestId).node + " and not answered");
         }
     }
 
@@ -164,108 +169,114 @@
      * A kept connection closed with this request on it: allowed where the node had not read it, so that no box has seen
      * it.
      */
-    public synchronized void closedUpon(String id) {
-        Asked request = asked.get(id);
-        if (request != null && request.attempts > 0 && !request.released) {
-            breaks(
-                    Rule.ONE_ANSWER,
-                    id + " was sent on by " + request.node + ", which then closed its client's connection");
+    public synchronized void onIdleConnectionClosed(String requestId) {
+        TrackedRequest request = requests.get(requestId);
+        if (request != null && request.attempts > 0 && !request.waived) {
+            recordViolation(
+                    Rule.EXACTLY_ONE_RESPONSE,
+                    requestId + " was sent on by " + request.node + ", which then closed its client's connection");
         }
     }
 
-    /** A box has read an attempt; {@code open}: whether its connection still is. */
-    public synchronized void sent(long now, String id, String box, BooleanSupplier open) {
-        Asked request = asked.get(id);
+    /** A box has read an attempt; {@code connectionOpen}: whether its connection still is. */
+    public synchronized void onAttemptReceived(
+            long now, String requestId, String backend, BooleanSupplier connectionOpen) {
+        TrackedRequest request = requests.get(requestId);
         if (request == null) {
-            breaks(Rule.MADE_BY_A_BOX, "a box was asked " + id + ", which no client had sent");
+            recordViolation(
+                    Rule.RESPONSE_MATCHES_BACKEND, "a box was asked " + requestId + ", which no client had sent");
             return;
         }
-        if (now - LEFT - CROSSING > request.leftAt) {
-            breaks(
-                    Rule.NOT_FOR_THOSE_WHO_LEFT,
-                    id + " was sent " + (now - request.leftAt) / 1_000_000 + " ms after its client had left");
+        if (now - DISCONNECT_REACTION_NANOS - EVENT_ORDER_TOLERANCE_NANOS > request.disconnectedAt) {
+            recordViolation(
+                    Rule.NO_ATTEMPT_AFTER_DISCONNECT,
+                    requestId + " was sent " + (now - request.disconnectedAt) / 1_000_000
+                            + " ms after its client had left");
         }
-        if (request.once && request.ran) {
-            breaks(Rule.RUN_ONCE, id + " was sent to " + box + " after it had run at " + request.box);
+        if (request.nonIdempotent && request.executed) {
+            recordViolation(
+                    Rule.NON_IDEMPOTENT_RUNS_ONCE,
+                    requestId + " was sent to " + backend + " after it had run at " + request.backend);
         }
-        if (++request.attempts > attempts) {
-            breaks(Rule.SIX_ATTEMPTS, id + " was tried " + request.attempts + " times");
+        if (++request.attempts > maxAttempts) {
+            recordViolation(Rule.ATTEMPT_LIMIT, requestId + " was tried " + request.attempts + " times");
         }
-        Long drained = told.get(request.node + ' ' + box);
-        if (drained != null && now > drained + grace + CROSSING) {
-            breaks(
-                    Rule.DRAIN_KEPT,
-                    id + " went to " + box + " " + (now - drained) / 1_000_000 + " ms after it was told");
+        Long notifiedAt = drainNotifiedAt.get(request.node + ' ' + backend);
+        if (notifiedAt != null && now > notifiedAt + drainGraceNanos + EVENT_ORDER_TOLERANCE_NANOS) {
+            recordViolation(
+                    Rule.NO_ATTEMPT_TO_DRAINING_BACKEND,
+                    requestId + " went to " + backend + " " + (now - notifiedAt) / 1_000_000 + " ms after it was told");
         }
-        if (request.open != null && request.open.getAsBoolean()) {
-            request.overlapSince = now;
+        if (request.connectionOpen != null && request.connectionOpen.getAsBoolean()) {
+            request.overlapStartedAt = now;
         }
-        request.box = box;
-        request.open = open;
+        request.backend = backend;
+        request.connectionOpen = connectionOpen;
     }
 
     /** A box was told that its answer may take so long to begin. */
-    public synchronized void told(long now, String id, long patience) {
-        Asked request = asked.get(id);
+    public synchronized void told(long now, String requestId, long timeoutNanos) {
+        TrackedRequest request = requests.get(requestId);
         if (request != null
-                && request.deadline != Long.MAX_VALUE
-                && now + patience > request.deadline + DEADLINE_SLACK) {
-            breaks(
-                    Rule.DEADLINE_TOLD,
-                    id + " was told " + (now + patience - request.deadline) / 1_000_000
+                && request.deadlineAt != Long.MAX_VALUE
+                && now + timeoutNanos > request.deadlineAt + DEADLINE_TOLERANCE_NANOS) {
+            recordViolation(
+                    Rule.FORWARDED_DEADLINE,
+                    requestId + " was told " + (now + timeoutNanos - request.deadlineAt) / 1_000_000
                             + " ms more than its client has");
         }
     }
 
     /** An attempt is over at its box. Whole: all of it was written, with this sum. */
-    public synchronized void ended(long now, String id, String box, boolean whole, long sum) {
-        Asked request = asked.get(id);
+    public synchronized void onAttemptEnded(
+            long now, String requestId, String backend, boolean complete, long checksum) {
+        TrackedRequest request = requests.get(requestId);
         if (request == null) {
             return;
         }
-        if (request.overlapSince >= 0 && now - request.overlapSince > CROSSING) {
-            breaks(
-                    Rule.ONE_ATTEMPT_AT_ONCE,
-                    id + " was at two boxes for " + (now - request.overlapSince) / 1_000_000 + " ms");
+        if (request.overlapStartedAt >= 0 && now - request.overlapStartedAt > EVENT_ORDER_TOLERANCE_NANOS) {
+            recordViolation(
+                    Rule.NO_CONCURRENT_ATTEMPTS,
+                    requestId + " was at two boxes for " + (now - request.overlapStartedAt) / 1_000_000 + " ms");
         }
-        request.overlapSince = -1;
-        if (box.equals(request.box)) {
-            request.open = null;
+        request.overlapStartedAt = -1;
+        if (backend.equals(request.backend)) {
+            request.connectionOpen = null;
         }
-        if (whole) {
-            request.made.add(sum);
+        if (complete) {
+            request.completedChecksums.add(checksum);
         }
     }
 
     /** A node was told that a box drains or is gone, or is listed again. */
-    public synchronized void told(long now, String node, String box, boolean leaves) {
-        if (leaves) {
-            told.putIfAbsent(node + ' ' + box, now);
+    public synchronized void told(long now, String node, String backend, boolean leaving) {
+        if (leaving) {
+            drainNotifiedAt.putIfAbsent(node + ' ' + backend, now);
         } else {
-            told.remove(node + ' ' + box);
+            drainNotifiedAt.remove(node + ' ' + backend);
         }
     }
 
     /** A node has started anew: it knows nothing of what was told before. */
-    public synchronized void startedAnew(String node) {
-        told.keySet().removeIf(key -> key.startsWith(node + ' '));
+    public synchronized void onNodeRestarted(String node) {
+        drainNotifiedAt.keySet().removeIf(key -> key.startsWith(node + ' '));
     }
 
     /** A cold box was pushed over. */
-    public synchronized void fell(long now, String box) {
-        breaks(Rule.NO_COLD_BOX_PUSHED_OVER, box + " fell over");
+    public synchronized void onBackendCollapsed(long now, String backend) {
+        recordViolation(Rule.NO_OVERLOAD_IN_SLOW_START, backend + " fell over");
     }
 
-    private void breaks(Rule rule, String how) {
-        broken.computeIfAbsent(rule, key -> new ArrayList<>()).add(how);
+    private void recordViolation(Rule rule, String description) {
+        violations.computeIfAbsent(rule, key -> new ArrayList<>()).add(description);
     }
 
     /** How often each rule was broken, with the first case of each. */
-    public synchronized Map<Rule, List<String>> broken() {
-        return new TreeMap<>(broken);
+    public synchronized Map<Rule, List<String>> violations() {
+        return new TreeMap<>(violations);
     }
 
-    public synchronized int count(Rule rule) {
-        return broken.getOrDefault(rule, List.of()).size();
+    public synchronized int violationCount(Rule rule) {
+        return violations.getOrDefault(rule, List.of()).size();
     }
 }
--- a/lab/src/main/java/fawnlb/lab/scenario/Folders.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/Directories.java
@@ -8,22 +8,22 @@
 import java.util.stream.Stream;
 
 /** Folders that a run makes and takes away again. */
-final class Folders {
-    private Folders() {}
+final class Directories {
+    private Directories() {}
 
     /** Copies the files of a folder to another, which is made. */
-    static void copy(Path folder, Path to) throws IOException {
-        Files.createDirectories(to);
-        try (Stream<Path> files = Files.list(folder)) {
+    static void copyFiles(Path directory, Path target) throws IOException {
+        Files.createDirectories(target);
+        try (Stream<Path> files = Files.list(directory)) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
-                Files.copy(file, to.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
+                Files.copy(file, target.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
             }
         }
     }
 
     /** Deletes a folder with all that is in it. */
-    static void delete(Path folder) throws IOException {
-        try (Stream<Path> files = Files.walk(folder)) {
+    static void deleteRecursively(Path directory) throws IOException {
+        try (Stream<Path> files = Files.walk(directory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
--- a/lab/src/main/java/fawnlb/lab/scenario/Strangers.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/MalformedClients.java
@@ -10,23 +10,23 @@
 import java.util.concurrent.TimeUnit;
 
 /** Clients that connect, write a part of a request or nothing, and stay. */
-final class Strangers implements AutoCloseable {
-    private static final int CONNECT_MS = 500;
+final class MalformedClients implements AutoCloseable {
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     private final InetSocketAddress node;
     private final List<Socket> sockets = new ArrayList<>();
 
-    Strangers(InetSocketAddress node) {
+    MalformedClients(InetSocketAddress node) {
         this.node = node;
     }
 
     /** As many as the node takes: it may be down at the moment. */
-    void connect(int count, String text) {
+    void connect(int count, String partialRequest) {
         for (int i = 0; i < count; i++) {
             try {
                 Socket socket = new Socket();
-                socket.connect(node, CONNECT_MS);
-                socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+                socket.connect(node, CONNECT_TIMEOUT_MILLIS);
+                socket.getOutputStream().write(partialRequest.getBytes(StandardCharsets.US_ASCII));
                 sockets.add(socket);
             } catch (IOException e) {
                 return;
@@ -35,12 +35,12 @@
     }
 
     /** Whether the node ends all connections within this time. */
-    boolean areClosedWithin(long millis) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    boolean areClosedWithin(long timeoutMillis) {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         for (Socket socket : sockets) {
             try {
-                long left = (end - System.nanoTime()) / 1_000_000;
-                socket.setSoTimeout((int) Math.max(1, left));
+                long remainingMillis = (end - System.nanoTime()) / 1_000_000;
+                socket.setSoTimeout((int) Math.max(1, remainingMillis));
                 while (socket.getInputStream().read() >= 0) {
                     // An error may be told before the close.
                 }
--- a/lab/src/main/java/fawnlb/lab/scenario/Scenario.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/Scenario.java
@@ -8,5 +8,5 @@
     String purpose();
 
     /** Plays it; progress goes to standard error. Quick: a shorter form, with the same claims. */
-    Verdict play(long seed, boolean quick) throws Exception;
+    ScenarioReport run(long seed, boolean quick) throws Exception;
 }
--- a/lab/src/main/java/fawnlb/lab/scenario/SlowReaders.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/SlowReaders.java
@@ -1,9 +1,9 @@
 package fawnlb.lab.scenario;
 
 import fawnlb.admin.AdminClient;
-import fawnlb.lab.load.Clients;
-import fawnlb.lab.load.Plan;
-import fawnlb.lab.load.Readers;
+import fawnlb.lab.load.ArrivalPlan;
+import fawnlb.lab.load.LoadGenerator;
+import fawnlb.lab.load.SlowReaderClients;
 import fawnlb.lab.net.Ports;
 import fawnlb.lab.node.NodeProcess;
 import java.net.InetSocketAddress;
@@ -23,17 +23,17 @@
  * holds, and whether anyone else notices. In pairs, with them and without, on the same arrivals.
  */
 public final class SlowReaders implements Scenario {
-    private static final int SLOW = 400;
-    private static final int STOPPED = 100;
-    private static final int BOXES = 14;
-    private static final double LOAD = 0.35;
-    private static final int OUT = 100;
-    private static final int PAD = 16_000;
-    private static final long MAX_HELD = 16 << 20;
-    private static final long LITTLE = 1 << 20;
-    private static final Pattern HELD = Pattern.compile("(\\d+) byte\\(s\\) held");
-    private static final Pattern STOPPED_ENDS = Pattern.compile("reader-stopped (\\d+)");
-    private static final Pattern CROWDED_ENDS = Pattern.compile("crowded-out (\\d+)");
+    private static final int SLOW_COUNT = 400;
+    private static final int STOPPED_COUNT = 100;
+    private static final int BACKEND_COUNT = 14;
+    private static final double LOAD_SHARE = 0.35;
+    private static final int OUTPUT_TOKENS = 100;
+    private static final int PADDING_BYTES = 16_000;
+    private static final long MAX_BUFFERED_BYTES = 16 << 20;
+    private static final long SMALL_BUFFER_BYTES = 1 << 20;
+    private static final Pattern BUFFERED_BYTES_PATTERN = Pattern.compile("(\\d+) byte\\(s\\) held");
+    private static final Pattern STOPPED_ENDS_PATTERN = Pattern.compile("reader-stopped (\\d+)");
+    private static final Pattern CROWDED_ENDS_PATTERN = Pattern.compile("crowded-out (\\d+)");
 
     @Override
     public String name() {
@@ -45,63 +45,82 @@
         return "400 readers at a byte a second and 100 that stopped: bytes held within their limit, and nobody else notices";
     }
 
-    private record Run(double firstP99, double gapP99, long held, long memory, int left, int crowded, String table) {}
+    private record RunResult(
+            double firstEventP99Millis,
+            double gapP99Millis,
+            long bufferedBytes,
+            long residentBytes,
+            int stoppedEnds,
+            int crowdedEnds,
+            String table) {}
 
     @Override
-    public Verdict play(long seed, boolean quick) throws Exception {
+    public ScenarioReport run(long seed, boolean quick) throws Exception {
         int seconds = 30;
         int pairs = quick ? 1 : 3;
-        List<Run> with = new ArrayList<>();
-        List<Run> without = new ArrayList<>();
+        List<RunResult> with = new ArrayList<>();
+        List<RunResult> without = new ArrayList<>();
         for (int i = 0; i < pairs; i++) {
             // In turn, so that what changes on the machine changes for both.
-            without.add(run(seed + i, seconds, false, MAX_HELD));
-            with.add(run(seed + i, seconds, true, MAX_HELD));
+            without.add(measureLoad(seed + i, seconds, false, MAX_BUFFERED_BYTES));
+            with.add(measureLoad(seed + i, seconds, true, MAX_BUFFERED_BYTES));
             System.err.printf("%d of %d pairs%n", i + 1, pairs);
         }
-        Run little = run(seed, 15, true, LITTLE);
-        Run worst = with.get(0);
+        RunResult smallBuffer = measureLoad(seed, 15, true, SMALL_BUFFER_BYTES);
+        RunResult worst = with.get(0);
         System.out.println(worst.table());
-        Verdict verdict = new Verdict();
-        verdict.figure(
+        ScenarioReport report = new ScenarioReport();
+        report.addMeasurement(
                 "first event, p99, with them and without",
-                String.format("%.0f ms  %.0f ms", median(with, Run::firstP99), median(without, Run::firstP99)));
-        verdict.figure(
+                String.format(
+                        "%.0f ms  %.0f ms",
+                        median(with, RunResult::firstEventP99Millis), median(without, RunResult::firstEventP99Millis)));
+        report.addMeasurement(
                 "gap between events, p99, with them and without",
-                String.format("%.1f ms  %.1f ms", median(with, Run::gapP99), median(without, Run::gapP99)));
-        double first = ratio(with, without, Run::firstP99);
-        double gap = ratio(with, without, Run::gapP99);
-        verdict.claim(
+                String.format(
+                        "%.1f ms  %.1f ms",
+                        median(with, RunResult::gapP99Millis), median(without, RunResult::gapP99Millis)));
+        double first = ratio(with, without, RunResult::firstEventP99Millis);
+        double gap = ratio(with, without, RunResult::gapP99Millis);
+        report.addCheck(
                 "first event's p99, median ratio of pairs", String.format("%.3f", first), "within 1.05", first <= 1.05);
-        verdict.claim("gap's p99, median ratio of pairs", String.format("%.3f", gap), "within 1.05", gap <= 1.05);
-        long held = with.stream().mapToLong(Run::held).max().orElse(0);
-        verdict.claim("most bytes held for readers", Long.toString(held), "within " + MAX_HELD, held <= MAX_HELD);
-        verdict.figure(
+        report.addCheck("gap's p99, median ratio of pairs", String.format("%.3f", gap), "within 1.05", gap <= 1.05);
+        long bufferedBytes =
+                with.stream().mapToLong(RunResult::bufferedBytes).max().orElse(0);
+        report.addCheck(
+                "most bytes held for readers",
+                Long.toString(bufferedBytes),
+                "within " + MAX_BUFFERED_BYTES,
+                bufferedBytes <= MAX_BUFFERED_BYTES);
+        report.addMeasurement(
                 "node's memory at the end, with them and without",
                 String.format(
                         "%d MB  %d MB",
-                        with.get(0).memory() >> 20, without.get(0).memory() >> 20));
-        int left = with.stream().mapToInt(Run::left).min().orElse(0);
-        verdict.claim(
-                "readers left after 20 s without a byte taken", Integer.toString(left), "100 or more", left >= STOPPED);
-        verdict.claim(
+                        with.get(0).residentBytes() >> 20, without.get(0).residentBytes() >> 20));
+        int stoppedEnds = with.stream().mapToInt(RunResult::stoppedEnds).min().orElse(0);
+        report.addCheck(
+                "readers left after 20 s without a byte taken",
+                Integer.toString(stoppedEnds),
+                "100 or more",
+                stoppedEnds >= STOPPED_COUNT);
+        report.addCheck(
                 "with a limit of 1 MiB: most bytes held",
-                Long.toString(little.held()),
-                "within " + LITTLE,
-                little.held() <= LITTLE);
-        verdict.claim(
+                Long.toString(smallBuffer.bufferedBytes()),
+                "within " + SMALL_BUFFER_BYTES,
+                smallBuffer.bufferedBytes() <= SMALL_BUFFER_BYTES);
+        report.addCheck(
                 "with a limit of 1 MiB: streams crowded out",
-                Integer.toString(little.crowded()),
+                Integer.toString(smallBuffer.crowdedEnds()),
                 "some",
-                little.crowded() > 0);
-        return verdict;
+                smallBuffer.crowdedEnds() > 0);
+        return report;
     }
 
-    private static double median(List<Run> runs, ToDoubleFunction<Run> figure) {
+    private static double median(List<RunResult> runs, ToDoubleFunction<RunResult> figure) {
         return StatUtils.percentile(runs.stream().mapToDouble(figure).toArray(), 50);
     }
 
-    private static double ratio(List<Run> with, List<Run> without, ToDoubleFunction<Run> figure) {
+    private static double ratio(List<RunResult> with, List<RunResult> without, ToDoubleFunction<RunResult> figure) {
         double[] ratios = new double[with.size()];
         for (int i = 0; i < ratios.length; i++) {
             ratios[i] = figure.applyAsDouble(with.get(i)) / figure.applyAsDouble(without.get(i));
@@ -109,54 +128,63 @@
         return StatUtils.percentile(ratios, 50);
     }
 
-    private static Run run(long seed, int seconds, boolean readers, long most) throws Exception {
-        try (Stage stage = new Stage();
-                Readers slow = new Readers()) {
+    private static RunResult measureLoad(long seed, int seconds, boolean withSlowReaders, long maxBufferedBytes)
+            throws Exception {
+        try (Testbed testbed = new Testbed();
+                SlowReaderClients slowClients = new SlowReaderClients()) {
             RandomGenerator random = new Well19937c(seed);
-            stage.draw(BOXES, random);
-            List<Plan.Turn> turns = Plan.draw(random, LOAD * Stage.capacity(stage.boxes, 1), seconds);
-            InetSocketAddress admin = new InetSocketAddress("127.0.0.1", Ports.free());
-            stage.start(
+            testbed.addRandomBackends(BACKEND_COUNT, random);
+            List<ArrivalPlan.Turn> turns =
+                    ArrivalPlan.draw(random, LOAD_SHARE * Testbed.turnsPerSecond(testbed.backends, 1), seconds);
+            InetSocketAddress admin = new InetSocketAddress("127.0.0.1", Ports.findFreePort());
+            testbed.start(
                     1,
                     0,
                     Map.of(
                             "streams",
-                            "{\"readers\":{\"most-held-bytes\":" + most + "},\"admin\":{\"listen\":\"127.0.0.1:"
-                                    + admin.getPort() + "\"}}"));
-            NodeProcess node = stage.nodes.get(0);
-            if (readers) {
-                for (int i = 0; i < SLOW + STOPPED; i++) {
-                    slow.ask(
-                            i < SLOW ? Readers.Manner.SLOW : Readers.Manner.STOPPED,
+                            "{\"readers\":{\"most-held-bytes\":" + maxBufferedBytes
+                                    + "},\"admin\":{\"listen\":\"127.0.0.1:" + admin.getPort() + "\"}}"));
+            NodeProcess node = testbed.nodes.get(0);
+            if (withSlowReaders) {
+                for (int i = 0; i < SLOW_COUNT + STOPPED_COUNT; i++) {
+                    slowClients.sendRequest(
+                            i < SLOW_COUNT
+                                    ? SlowReaderClients.ReadPattern.ONE_BYTE_PER_SECOND
+                                    : SlowReaderClients.ReadPattern.STOPPED,
                             node.address(),
                             node.name(),
-                            stage.rules,
+                            testbed.rules,
                             String.format("%016x", 0x5100000 + i),
-                            OUT,
-                            PAD);
+                            OUTPUT_TOKENS,
+                            PADDING_BYTES);
                 }
-                slow.start();
+                slowClients.start();
             }
             // Until the slow ones' answers are made, their boxes are busy with them; what is compared comes after that.
-            TimeUnit.SECONDS.sleep(readers ? 15 : 1);
-            Clients clients = new Clients(
-                    stage.callers.getIoThread(), stage.clock, stage.rules, stage.addresses(), seconds + 1, seed);
-            Stage.on(stage.callers, () -> clients.play(turns));
-            long held = 0;
+            TimeUnit.SECONDS.sleep(withSlowReaders ? 15 : 1);
+            LoadGenerator generator = new LoadGenerator(
+                    testbed.clientWorker.getIoThread(),
+                    testbed.clientTimers,
+                    testbed.rules,
+                    testbed.nodeAddresses(),
+                    seconds + 1,
+                    seed);
+            Testbed.runOn(testbed.clientWorker, () -> generator.start(turns));
+            long bufferedBytes = 0;
             String table = "";
-            for (int i = 0; i < seconds * 2 || clients.open() > 0 && i < seconds * 2 + 40; i++) {
+            for (int i = 0; i < seconds * 2 || generator.openTurns() > 0 && i < seconds * 2 + 40; i++) {
                 TimeUnit.MILLISECONDS.sleep(500);
-                table = AdminClient.backends(admin, false);
-                held = Math.max(held, sum(HELD, table));
+                table = AdminClient.fetchTargets(admin, false);
+                bufferedBytes = Math.max(bufferedBytes, sum(BUFFERED_BYTES_PATTERN, table));
             }
-            stage.check();
-            return new Run(
-                    clients.firstEvents().getValueAtPercentile(99) / 1e3,
-                    clients.gaps().getValueAtPercentile(99) / 1e3,
-                    held,
-                    node.memory(),
-                    (int) sum(STOPPED_ENDS, table),
-                    (int) sum(CROWDED_ENDS, table),
+            testbed.requireNodesAlive();
+            return new RunResult(
+                    generator.firstEventMicros().getValueAtPercentile(99) / 1e3,
+                    generator.eventGapMicros().getValueAtPercentile(99) / 1e3,
+                    bufferedBytes,
+                    node.residentBytes(),
+                    (int) sum(STOPPED_ENDS_PATTERN, table),
+                    (int) sum(CROWDED_ENDS_PATTERN, table),
                     table);
         }
     }
--- a/lab/src/main/java/fawnlb/lab/scenario/SnapshotCrash.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/SnapshotCrash.java
@@ -17,17 +17,20 @@
 
 /** A process that writes snapshots without pause is killed outright at moments drawn from the seed. */
 public final class SnapshotCrash implements Scenario {
-    private static final int LANES = 6;
+    private static final int PARALLEL_RUNS = 6;
     /** A writing takes a few milliseconds; kills fall anywhere within several of them. */
-    private static final int LATEST_MICROS = 40_000;
+    private static final int MAX_KILL_DELAY_MICROS = 40_000;
 
     /**
      * One lane's kills: none readable after it, older than what was said to be on disk, with one generation damaged.
      */
-    private record Count(int kills, int unreadable, int older, int damaged) {
-        Count plus(Count other) {
-            return new Count(
-                    kills + other.kills, unreadable + other.unreadable, older + other.older, damaged + other.damaged);
+    private record CrashCounts(int kills, int unreadable, int lostRevisions, int damaged) {
+        CrashCounts plus(CrashCounts other) {
+            return new CrashCounts(
+                    kills + other.kills,
+                    unreadable + other.unreadable,
+                    lostRevisions + other.lostRevisions,
+                    damaged + other.damaged);
         }
     }
 
@@ -42,64 +45,64 @@
     }
 
     @Override
-    public Verdict play(long seed, boolean quick) throws Exception {
+    public ScenarioReport run(long seed, boolean quick) throws Exception {
         int kills = quick ? 60 : 500;
-        ExecutorService lanes = Executors.newFixedThreadPool(LANES);
-        List<Future<Count>> futures = new ArrayList<>();
-        for (int lane = 0; lane < LANES; lane++) {
-            int part = kills / LANES + (lane < kills % LANES ? 1 : 0);
-            long own = seed * LANES + lane;
-            futures.add(lanes.submit(() -> lane(part, new Well19937c(own))));
+        ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_RUNS);
+        List<Future<CrashCounts>> futures = new ArrayList<>();
+        for (int run = 0; run < PARALLEL_RUNS; run++) {
+            int runKills = kills / PARALLEL_RUNS + (run < kills % PARALLEL_RUNS ? 1 : 0);
+            long runSeed = seed * PARALLEL_RUNS + run;
+            futures.add(executor.submit(() -> killRepeatedly(runKills, new Well19937c(runSeed))));
         }
-        lanes.shutdown();
-        Count all = new Count(0, 0, 0, 0);
-        for (Future<Count> future : futures) {
-            all = all.plus(future.get());
-            System.err.println(all.kills() + " of " + kills + " kills");
+        executor.shutdown();
+        CrashCounts total = new CrashCounts(0, 0, 0, 0);
+        for (Future<CrashCounts> future : futures) {
+            total = total.plus(future.get());
+            System.err.println(total.kills() + " of " + kills + " kills");
         }
-        Verdict verdict = new Verdict();
-        verdict.claim("kills", Integer.toString(all.kills()), Integer.toString(kills), all.kills() == kills);
-        verdict.claim(
+        ScenarioReport report = new ScenarioReport();
+        report.addCheck("kills", Integer.toString(total.kills()), Integer.toString(kills), total.kills() == kills);
+        report.addCheck(
                 "kills that left no readable generation",
-                Integer.toString(all.unreadable()),
+                Integer.toString(total.unreadable()),
                 "0",
-                all.unreadable() == 0);
-        verdict.claim(
+                total.unreadable() == 0);
+        report.addCheck(
                 "kills that lost what had been said to be written",
-                Integer.toString(all.older()),
+                Integer.toString(total.lostRevisions()),
                 "0",
-                all.older() == 0);
-        verdict.figure("kills that left a generation damaged", Integer.toString(all.damaged()));
-        return verdict;
+                total.lostRevisions() == 0);
+        report.addMeasurement("kills that left a generation damaged", Integer.toString(total.damaged()));
+        return report;
     }
 
-    private static Count lane(int kills, RandomGenerator random) throws Exception {
-        Path folder = Files.createTempDirectory("fawnlb-lab");
-        Path file = folder.resolve("list");
-        Count count = new Count(0, 0, 0, 0);
+    private static CrashCounts killRepeatedly(int kills, RandomGenerator random) throws Exception {
+        Path directory = Files.createTempDirectory("fawnlb-lab");
+        Path file = directory.resolve("list");
+        CrashCounts counts = new CrashCounts(0, 0, 0, 0);
         try {
-            for (long revision = 1; count.kills() < kills; ) {
-                long said = killOne(file, revision, random);
-                SnapshotStore.Found found = new SnapshotStore(file).read(Long.MAX_VALUE / 2, 0);
+            for (long revision = 1; counts.kills() < kills; ) {
+                long reportedRevision = killWriter(file, revision, random);
+                SnapshotStore.ReadResult found = new SnapshotStore(file).read(Long.MAX_VALUE / 2, 0);
                 Snapshot snapshot = found.snapshot();
-                count = count.plus(new Count(
+                counts = counts.plus(new CrashCounts(
                         1,
                         snapshot == null ? 1 : 0,
-                        snapshot != null && snapshot.revision() < said ? 1 : 0,
+                        snapshot != null && snapshot.revision() < reportedRevision ? 1 : 0,
                         found.faults().isEmpty() ? 0 : 1));
-                revision = said + 2;
+                revision = reportedRevision + 2;
             }
         } finally {
-            Folders.delete(folder);
+            Directories.deleteRecursively(directory);
         }
-        return count;
+        return counts;
     }
 
     /** The last revision that the killed process had said to be on disk. */
-    private static long killOne(Path file, long revision, RandomGenerator random)
+    private static long killWriter(Path file, long revision, RandomGenerator random)
             throws IOException, InterruptedException {
-        Path said = file.resolveSibling("said");
-        Files.deleteIfExists(said);
+        Path reported = file.resolveSibling("said");
+        Files.deleteIfExists(reported);
         Process writer = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xshare:auto",
@@ -107,22 +110,22 @@
                         "-XX:+UseSerialGC",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        SnapshotWriter.class.getName(),
+                        SnapshotWriterProcess.class.getName(),
                         file.toString(),
                         Long.toString(revision))
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
-                .redirectOutput(said.toFile())
+                .redirectOutput(reported.toFile())
                 .start();
         try {
-            while (Files.size(said) == 0 && writer.isAlive()) {
+            while (Files.size(reported) == 0 && writer.isAlive()) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
-            TimeUnit.MICROSECONDS.sleep(random.nextInt(LATEST_MICROS));
+            TimeUnit.MICROSECONDS.sleep(random.nextInt(MAX_KILL_DELAY_MICROS));
         } finally {
             writer.destroyForcibly().waitFor();
         }
         // The last line may have been cut by the kill; what stands before it was said in full.
-        String text = Files.readString(said, StandardCharsets.US_ASCII);
+        String text = Files.readString(reported, StandardCharsets.US_ASCII);
         List<String> lines =
                 text.substring(0, text.lastIndexOf('\n') + 1).lines().toList();
         if (lines.isEmpty()) {
--- a/lab/src/main/java/fawnlb/lab/scenario/SnapshotWriter.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/SnapshotWriterProcess.java
@@ -1,7 +1,7 @@
 package fawnlb.lab.scenario;
 
-import fawnlb.decision.Balancer.Phase;
-import fawnlb.discovery.Member;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.snapshot.Snapshot;
 import fawnlb.snapshot.SnapshotStore;
 import java.io.IOException;
@@ -9,10 +9,10 @@
 import java.util.stream.IntStream;
 
 /** Writes one snapshot after another until it is killed, and says which revision is on disk. */
-public final class SnapshotWriter {
-    private static final int TARGETS = 500;
+public final class SnapshotWriterProcess {
+    private static final int ENDPOINT_COUNT = 500;
 
-    private SnapshotWriter() {}
+    private SnapshotWriterProcess() {}
 
     public static void main(String[] args) throws IOException {
         SnapshotStore store = new SnapshotStore(Path.of(args[0]));
@@ -27,16 +27,16 @@
         return new Snapshot(
                 revision,
                 revision,
-                IntStream.range(0, TARGETS)
+                IntStream.range(0, ENDPOINT_COUNT)
                         .mapToObj(i -> new Snapshot.Entry(
-                                new Member(
+                                new DiscoveredEndpoint(
                                         String.format("s-%08x", i),
                                         "127.0.0.1",
                                         9000,
                                         "regina-east",
                                         "full-rate",
                                         0,
-                                        Phase.READY,
+                                        EndpointPhase.READY,
                                         1,
                                         revision),
                                 revision,
--- a/lab/src/main/java/fawnlb/lab/scenario/Soak.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/Soak.java
@@ -1,12 +1,12 @@
 package fawnlb.lab.scenario;
 
-import fawnlb.decision.Balancer.Phase;
-import fawnlb.discovery.Member;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.discovery.DiscoveredEndpoint;
+import fawnlb.lab.engine.ApiFormat;
+import fawnlb.lab.engine.EngineProfile;
 import fawnlb.lab.engine.EngineServer;
-import fawnlb.lab.engine.Kind;
-import fawnlb.lab.engine.Speech;
-import fawnlb.lab.load.Clients;
-import fawnlb.lab.load.Plan;
+import fawnlb.lab.load.ArrivalPlan;
+import fawnlb.lab.load.LoadGenerator;
 import fawnlb.lab.net.Fault;
 import fawnlb.lab.node.NodeProcess;
 import fawnlb.lab.rules.RuleChecker.Rule;
@@ -34,35 +34,36 @@
  * crossed the sockets is held against the rules, and what the nodes logged against their invariants.
  */
 public final class Soak implements Scenario {
-    private static final int NODES = 24;
-    private static final int QUICK_NODES = 5;
-    private static final int SERVERS = 18;
-    private static final int SECONDS = 60;
-    private static final int QUICK_SECONDS = 20;
+    private static final int NODE_COUNT = 24;
+    private static final int QUICK_NODE_COUNT = 5;
+    private static final int BACKEND_COUNT = 18;
+    private static final int DURATION_SECONDS = 60;
+    private static final int QUICK_DURATION_SECONDS = 20;
     /** Requests a second of each node. */
-    private static final double RATE = 3;
+    private static final double REQUESTS_PER_SECOND_PER_NODE = 3;
 
-    private static final long S = 1_000_000_000L;
-    private static final long MS = 1_000_000;
-    private static final long BEYOND_DEADLINE = S / 2;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long DEADLINE_GRACE_NANOS = NANOS_PER_SECOND / 2;
     /** A planned end may take as long as a request may wait and its answer run. */
-    private static final long END_MS = 30_000;
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 30_000;
 
-    private static final int TERMINATED = 143;
-    private static final long READY_MS = 10_000;
-    private static final Kind KIND = new Kind("full-rate", 60, 60, 400_000, 2048, 8, 0.1, 25_000, 1, 2, 2);
-    private static final Pattern FAULT_IN_LOG =
+    private static final int SIGTERM_EXIT_STATUS = 143;
+    private static final long READY_TIMEOUT_MILLIS = 10_000;
+    private static final EngineProfile PROFILE =
+            new EngineProfile("full-rate", 60, 60, 400_000, 2048, 8, 0.1, 25_000, 1, 2, 2);
+    private static final Pattern LOGGED_FAILURE =
             Pattern.compile("(?m)^.*(SEVERE|Exception|invariant|had no answer at its deadline).*$");
 
-    private final List<String> troubles = new ArrayList<>();
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> injectedFaults = new ArrayList<>();
+    private final List<String> failures = new ArrayList<>();
     private RandomGenerator random;
-    private Stage stage;
+    private Testbed testbed;
     private List<FaultShim> shims;
     /** Nodes and servers to which something is being done that can't overlap with another of its kind. */
-    private final Set<Object> busy = new HashSet<>();
+    private final Set<Object> targetsInUse = new HashSet<>();
 
-    private int names;
+    private int usedBackendIds;
     private long startedAt;
 
     @Override
@@ -76,205 +77,223 @@
     }
 
     @Override
-    public Verdict play(long seed, boolean quick) throws Exception {
+    public ScenarioReport run(long seed, boolean quick) throws Exception {
         random = new Well19937c(seed);
-        int nodes = quick ? QUICK_NODES : NODES;
-        int seconds = quick ? QUICK_SECONDS : SECONDS;
-        ExecutorService hands = Executors.newCachedThreadPool();
-        try (Stage built = new Stage()) {
-            stage = built;
+        int nodes = quick ? QUICK_NODE_COUNT : NODE_COUNT;
+        int seconds = quick ? QUICK_DURATION_SECONDS : DURATION_SECONDS;
+        ExecutorService executor = Executors.newCachedThreadPool();
+        try (Testbed created = new Testbed()) {
+            testbed = created;
             prepare(nodes);
-            List<Future<?>> open = new ArrayList<>();
-            List<Plan.Turn> turns = Plan.draw(random, RATE * nodes, seconds);
-            Clients clients = new Clients(
-                    stage.callers.getIoThread(), stage.clock, stage.rules, stage.addresses(), seconds + 1, seed);
-            clients.waitBeyondDeadline(BEYOND_DEADLINE);
-            clients.someRunOnce();
+            List<Future<?>> pendingFaults = new ArrayList<>();
+            List<ArrivalPlan.Turn> turns = ArrivalPlan.draw(random, REQUESTS_PER_SECOND_PER_NODE * nodes, seconds);
+            LoadGenerator generator = new LoadGenerator(
+                    testbed.clientWorker.getIoThread(),
+                    testbed.clientTimers,
+                    testbed.rules,
+                    testbed.nodeAddresses(),
+                    seconds + 1,
+                    seed);
+            generator.setDeadlineGrace(DEADLINE_GRACE_NANOS);
+            generator.includeNonIdempotentRequests();
             startedAt = System.nanoTime();
-            Stage.on(stage.callers, () -> clients.play(turns));
-            while (System.nanoTime() - startedAt < seconds * S) {
-                Trouble trouble = Trouble.values()[random.nextInt(Trouble.values().length)];
-                int which = random.nextInt(1 << 20);
-                open.add(hands.submit(guarded(trouble, which)));
+            Testbed.runOn(testbed.clientWorker, () -> generator.start(turns));
+            while (System.nanoTime() - startedAt < seconds * NANOS_PER_SECOND) {
+                InjectedFault fault = InjectedFault.values()[random.nextInt(InjectedFault.values().length)];
+                int selector = random.nextInt(1 << 20);
+                pendingFaults.add(executor.submit(loggedInjection(fault, selector)));
                 TimeUnit.MILLISECONDS.sleep(150 + random.nextInt(quick ? 500 : 250));
             }
-            for (Future<?> trouble : open) {
-                trouble.get(2, TimeUnit.MINUTES);
+            for (Future<?> fault : pendingFaults) {
+                fault.get(2, TimeUnit.MINUTES);
             }
-            healAll();
-            for (int i = 0; i < 150 && clients.open() > 0; i++) {
+            removeSystemCallFaults();
+            for (int i = 0; i < 150 && generator.openTurns() > 0; i++) {
                 TimeUnit.MILLISECONDS.sleep(100);
             }
-            endAll();
-            return verdict(clients, seed, nodes);
+            shutDownNodes();
+            return createReport(generator, seed, nodes);
         } finally {
-            hands.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
     private void prepare(int nodes) throws Exception {
         shims = new ArrayList<>();
-        for (int i = 0; i < SERVERS; i++) {
-            stage.box(KIND, Speech.CHAT);
+        for (int i = 0; i < BACKEND_COUNT; i++) {
+            testbed.addBackend(PROFILE, ApiFormat.CHAT);
         }
-        names = SERVERS;
-        stage.prepare(nodes, 300 * MS);
-        Path library = FaultShim.isAvailable() ? FaultShim.compile(stage.folder) : null;
-        for (NodeProcess node : stage.nodes) {
+        usedBackendIds = BACKEND_COUNT;
+        testbed.prepareNodes(nodes, 300 * NANOS_PER_MILLI);
+        Path library = FaultShim.isAvailable() ? FaultShim.compile(testbed.directory) : null;
+        for (NodeProcess node : testbed.nodes) {
             if (library != null) {
-                FaultShim shim = FaultShim.create(library, stage.folder.resolve(node.name() + ".faults"));
+                FaultShim shim = FaultShim.create(library, testbed.directory.resolve(node.name() + ".faults"));
                 node.setEnvironment(shim.environment());
                 shims.add(shim);
             }
         }
-        stage.startAll(Map.of());
+        testbed.startNodes(Map.of());
     }
 
     /** What can happen; each begins, lasts for a while and heals. */
-    private enum Trouble {
-        NODE_ENDS,
-        NODE_IS_KILLED,
-        NODE_RELOADS,
-        NODE_IS_PAUSED,
-        CLOCK_STEPS,
-        ACCEPT_FAILS,
-        CONNECT_FAILS,
-        SOCKET_FAILS,
+    private enum InjectedFault {
+        NODE_SHUTDOWN,
+        NODE_KILL,
+        NODE_RELOAD,
+        NODE_PAUSE,
+        WALL_CLOCK_STEP,
+        ACCEPT_FAILURE,
+        CONNECT_FAILURE,
+        SOCKET_FAILURE,
         SHORT_TRANSFERS,
-        WRITES_FAIL,
-        READS_FAIL,
-        SERVER_DIES,
-        SERVER_IS_SILENT,
-        SERVER_DRAINS,
-        SERVER_IS_SLOW,
-        ANSWERS_ARE_SPOILT,
-        DISCOVERY_IS_DOWN,
-        HALF_REQUESTS,
-        IDLE_CLIENTS
+        WRITE_FAILURE,
+        READ_FAILURE,
+        BACKEND_CRASH,
+        BACKEND_UNREACHABLE,
+        BACKEND_REPLACEMENT,
+        BACKEND_SLOWDOWN,
+        RESPONSE_CORRUPTION,
+        DISCOVERY_OUTAGE,
+        PARTIAL_REQUESTS,
+        IDLE_CONNECTIONS
     }
 
-    private Callable<Void> guarded(Trouble trouble, int which) {
+    private Callable<Void> loggedInjection(InjectedFault fault, int selector) {
         return () -> {
-            synchronized (troubles) {
-                troubles.add(String.format("%.2f s: %s %d", (System.nanoTime() - startedAt) / 1e9, trouble, which));
+            synchronized (injectedFaults) {
+                injectedFaults.add(
+                        String.format("%.2f s: %s %d", (System.nanoTime() - startedAt) / 1e9, fault, selector));
             }
-            make(trouble, which);
+            inject(fault, selector);
             return null;
         };
     }
 
-    private void make(Trouble trouble, int which) throws Exception {
-        int number = which % stage.nodes.size();
-        EngineServer server = stage.boxes.get(which % stage.boxes.size());
-        int millis = 300 + which % 2500;
-        switch (trouble) {
-            case NODE_ENDS -> restart(number, true);
-            case NODE_IS_KILLED -> restart(number, false);
-            case NODE_RELOADS -> withNode(number, node -> node.signal("HUP"));
-            case NODE_IS_PAUSED ->
-                withNode(number, node -> {
-                    node.signal("STOP");
-                    TimeUnit.MILLISECONDS.sleep(which % 150);
-                    node.signal("CONT");
+    private void inject(InjectedFault fault, int selector) throws Exception {
+        int nodeIndex = selector % testbed.nodes.size();
+        EngineServer backend = testbed.backends.get(selector % testbed.backends.size());
+        int durationMillis = 300 + selector % 2500;
+        switch (fault) {
+            case NODE_SHUTDOWN -> restartNode(nodeIndex, true);
+            case NODE_KILL -> restartNode(nodeIndex, false);
+            case NODE_RELOAD -> runOnNode(nodeIndex, node -> node.sendSignal("HUP"));
+            case NODE_PAUSE ->
+                runOnNode(nodeIndex, node -> {
+                    node.sendSignal("STOP");
+                    TimeUnit.MILLISECONDS.sleep(selector % 150);
+                    node.sendSignal("CONT");
                 });
-            case CLOCK_STEPS ->
-                shim(number).stepWallClock((which % 2 == 0 ? 1 : -1) * (which % 3 == 0 ? 3600 * S : which % 5000 * MS));
-            case ACCEPT_FAILS ->
-                fail(
-                        number,
-                        FaultShim.Call.ACCEPT,
-                        which % 2 == 0 ? FaultShim.Errno.ENFILE : FaultShim.Errno.ENOBUFS,
+            case WALL_CLOCK_STEP ->
+                shim(nodeIndex)
+                        .stepWallClock((selector % 2 == 0 ? 1 : -1)
+                                * (selector % 3 == 0 ? 3600 * NANOS_PER_SECOND : selector % 5000 * NANOS_PER_MILLI));
+            case ACCEPT_FAILURE ->
+                failSystemCall(
+                        nodeIndex,
+                        FaultShim.SystemCall.ACCEPT,
+                        selector % 2 == 0 ? FaultShim.Errno.ENFILE : FaultShim.Errno.ENOBUFS,
                         1,
-                        millis / 2);
-            case CONNECT_FAILS ->
-                fail(
-                        number,
-                        FaultShim.Call.CONNECT,
-                        which % 2 == 0 ? FaultShim.Errno.EADDRNOTAVAIL : FaultShim.Errno.ENETUNREACH,
-                        1 + which % 3,
-                        millis);
-            case SOCKET_FAILS -> fail(number, FaultShim.Call.SOCKET, FaultShim.Errno.EMFILE, 1 + which % 3, millis);
+                        durationMillis / 2);
+            case CONNECT_FAILURE ->
+                failSystemCall(
+                        nodeIndex,
+                        FaultShim.SystemCall.CONNECT,
+                        selector % 2 == 0 ? FaultShim.Errno.EADDRNOTAVAIL : FaultShim.Errno.ENETUNREACH,
+                        1 + selector % 3,
+                        durationMillis);
+            case SOCKET_FAILURE ->
+                failSystemCall(
+                        nodeIndex,
+                        FaultShim.SystemCall.SOCKET,
+                        FaultShim.Errno.EMFILE,
+                        1 + selector % 3,
+                        durationMillis);
             case SHORT_TRANSFERS -> {
-                shim(number).limitTransfers(1 + which % 40, 1 + which % 30);
-                TimeUnit.MILLISECONDS.sleep(millis);
-                shim(number).limitTransfers(0, 0);
+                shim(nodeIndex).limitTransfers(1 + selector % 40, 1 + selector % 30);
+                TimeUnit.MILLISECONDS.sleep(durationMillis);
+                shim(nodeIndex).limitTransfers(0, 0);
             }
             // Who is told by a failed write or read that its connection is gone has lost nothing that the node could
             // give.
-            case WRITES_FAIL -> releasedWhile(number, FaultShim.Call.WRITE, FaultShim.Errno.EHOSTUNREACH);
-            case READS_FAIL -> releasedWhile(number, FaultShim.Call.READ, FaultShim.Errno.ETIMEDOUT);
-            case SERVER_DIES -> alone(server, s -> stops(s, EngineServer::die, millis));
-            case SERVER_IS_SILENT -> alone(server, s -> stops(s, EngineServer::vanish, millis));
-            case SERVER_DRAINS -> alone(server, s -> replaced(s, millis));
-            case SERVER_IS_SLOW -> slow(server, millis);
-            case ANSWERS_ARE_SPOILT -> spoilt(server, which, millis);
-            case DISCOVERY_IS_DOWN -> discoveryDown(millis);
-            case HALF_REQUESTS -> clientsWithHalfRequests(number, which);
-            default -> idleClients(number);
+            case WRITE_FAILURE -> failWhileExcused(nodeIndex, FaultShim.SystemCall.WRITE, FaultShim.Errno.EHOSTUNREACH);
+            case READ_FAILURE -> failWhileExcused(nodeIndex, FaultShim.SystemCall.READ, FaultShim.Errno.ETIMEDOUT);
+            case BACKEND_CRASH ->
+                runExclusively(backend, s -> stopAndRestartBackend(s, EngineServer::crash, durationMillis));
+            case BACKEND_UNREACHABLE ->
+                runExclusively(backend, s -> stopAndRestartBackend(s, EngineServer::becomeUnreachable, durationMillis));
+            case BACKEND_REPLACEMENT -> runExclusively(backend, s -> replaceBackend(s, durationMillis));
+            case BACKEND_SLOWDOWN -> slowBackend(backend, durationMillis);
+            case RESPONSE_CORRUPTION -> corruptResponses(backend, selector, durationMillis);
+            case DISCOVERY_OUTAGE -> interruptDiscovery(durationMillis);
+            case PARTIAL_REQUESTS -> sendPartialRequests(nodeIndex, selector);
+            default -> openIdleConnections(nodeIndex);
         }
     }
 
-    private interface Work<T> {
-        void on(T object) throws Exception;
+    private interface TargetOperation<T> {
+        void apply(T object) throws Exception;
     }
 
-    private void withNode(int number, Work<NodeProcess> work) throws Exception {
-        alone(stage.nodes.get(number), work);
+    private void runOnNode(int nodeIndex, TargetOperation<NodeProcess> operation) throws Exception {
+        runExclusively(testbed.nodes.get(nodeIndex), operation);
     }
 
     /** Does it unless something else is being done to the same node or server. */
-    private <T> void alone(T object, Work<T> work) throws Exception {
-        synchronized (busy) {
-            if (!busy.add(object)) {
+    private <T> void runExclusively(T target, TargetOperation<T> operation) throws Exception {
+        synchronized (targetsInUse) {
+            if (!targetsInUse.add(target)) {
                 return;
             }
         }
         try {
-            work.on(object);
+            operation.apply(target);
         } finally {
-            synchronized (busy) {
-                busy.remove(object);
+            synchronized (targetsInUse) {
+                targetsInUse.remove(target);
             }
         }
     }
 
-    private FaultShim shim(int number) {
-        return shims.isEmpty() ? FaultShim.none() : shims.get(number);
+    private FaultShim shim(int nodeIndex) {
+        return shims.isEmpty() ? FaultShim.none() : shims.get(nodeIndex);
     }
 
-    private void fail(int number, FaultShim.Call call, FaultShim.Errno error, int oneIn, int millis) throws Exception {
-        shim(number).fail(call, error, oneIn);
-        TimeUnit.MILLISECONDS.sleep(millis);
-        shim(number).heal(call);
+    private void failSystemCall(
+            int nodeIndex, FaultShim.SystemCall call, FaultShim.Errno error, int oneIn, int durationMillis)
+            throws Exception {
+        shim(nodeIndex).fail(call, error, oneIn);
+        TimeUnit.MILLISECONDS.sleep(durationMillis);
+        shim(nodeIndex).heal(call);
     }
 
-    private void releasedWhile(int number, FaultShim.Call call, FaultShim.Errno error) throws Exception {
-        String name = stage.nodes.get(number).name();
-        stage.rules.excuse(name, true);
-        fail(number, call, error, 40, 400);
+    private void failWhileExcused(int nodeIndex, FaultShim.SystemCall call, FaultShim.Errno error) throws Exception {
+        String name = testbed.nodes.get(nodeIndex).name();
+        testbed.rules.setNodeExcused(name, true);
+        failSystemCall(nodeIndex, call, error, 40, 400);
         TimeUnit.MILLISECONDS.sleep(100);
-        stage.rules.excuse(name, false);
+        testbed.rules.setNodeExcused(name, false);
     }
 
     /** A planned end, or a kill, and a new process some time after it. */
-    private void restart(int number, boolean planned) throws Exception {
-        withNode(number, node -> {
+    private void restartNode(int nodeIndex, boolean planned) throws Exception {
+        runOnNode(nodeIndex, node -> {
             if (planned) {
-                node.signal("TERM");
-                int status = node.awaitEnd(END_MS);
-                if (status != TERMINATED) {
-                    faulty(node.name() + " ended with status " + status + " at a planned end");
+                node.sendSignal("TERM");
+                int status = node.awaitExit(SHUTDOWN_TIMEOUT_MILLIS);
+                if (status != SIGTERM_EXIT_STATUS) {
+                    recordFailure(node.name() + " ended with status " + status + " at a planned end");
                 }
             }
-            stage.rules.killed(node.name());
+            testbed.rules.onNodeKilled(node.name());
             node.close();
-            stage.rules.killed(node.name());
+            testbed.rules.onNodeKilled(node.name());
             TimeUnit.MILLISECONDS.sleep(200);
-            long began = System.nanoTime();
-            stage.start(number, Map.of());
+            long startedAt = System.nanoTime();
+            testbed.start(nodeIndex, Map.of());
             while (!node.isReady()) {
-                if (System.nanoTime() - began > READY_MS * MS) {
-                    faulty(node.name() + " was not ready within " + READY_MS + " ms");
+                if (System.nanoTime() - startedAt > READY_TIMEOUT_MILLIS * NANOS_PER_MILLI) {
+                    recordFailure(node.name() + " was not ready within " + READY_TIMEOUT_MILLIS + " ms");
                     return;
                 }
                 TimeUnit.MILLISECONDS.sleep(50);
@@ -282,17 +301,17 @@
         });
     }
 
-    private void faulty(String what) {
-        synchronized (faults) {
-            faults.add(String.format("%.2f s: %s", (System.nanoTime() - startedAt) / 1e9, what));
+    private void recordFailure(String description) {
+        synchronized (failures) {
+            failures.add(String.format("%.2f s: %s", (System.nanoTime() - startedAt) / 1e9, description));
         }
     }
 
     // ---- Servers and discovery --------------------------------------------------------------------------
 
-    private static Member member(EngineServer server, Phase phase) {
-        Member listed = Stage.members(List.of(server), phase).get(0);
-        return new Member(
+    private static DiscoveredEndpoint member(EngineServer backend, EndpointPhase phase) {
+        DiscoveredEndpoint listed = Testbed.members(List.of(backend), phase).get(0);
+        return new DiscoveredEndpoint(
                 listed.id(),
                 listed.host(),
                 listed.port(),
@@ -304,133 +323,145 @@
                 System.currentTimeMillis());
     }
 
-    private void slow(EngineServer server, int millis) throws Exception {
-        Stage.on(stage.fleet, () -> server.slow(0.3));
-        TimeUnit.MILLISECONDS.sleep(millis);
-        Stage.on(stage.fleet, () -> server.slow(1));
+    private void slowBackend(EngineServer backend, int durationMillis) throws Exception {
+        Testbed.runOn(testbed.backendWorker, () -> backend.setSlowdown(0.3));
+        TimeUnit.MILLISECONDS.sleep(durationMillis);
+        Testbed.runOn(testbed.backendWorker, () -> backend.setSlowdown(1));
     }
 
     /** It dies or falls silent, and starts anew after a while. */
-    private void stops(EngineServer server, Work<EngineServer> how, int millis) throws Exception {
-        Stage.on(stage.fleet, () -> how.on(server));
-        TimeUnit.MILLISECONDS.sleep(millis);
-        Stage.on(stage.fleet, () -> {
-            server.restart();
-            stage.roster.change(member(server, Phase.READY));
+    private void stopAndRestartBackend(
+            EngineServer backend, TargetOperation<EngineServer> stopOperation, int durationMillis) throws Exception {
+        Testbed.runOn(testbed.backendWorker, () -> stopOperation.apply(backend));
+        TimeUnit.MILLISECONDS.sleep(durationMillis);
+        Testbed.runOn(testbed.backendWorker, () -> {
+            backend.restart();
+            testbed.discovery.applyChanges(member(backend, EndpointPhase.READY));
         });
     }
 
     /** It drains, leaves, and another one comes at its address. */
-    private void replaced(EngineServer server, int millis) throws Exception {
-        Stage.on(stage.fleet, () -> stage.roster.change(member(server, Phase.DRAINING)));
-        TimeUnit.MILLISECONDS.sleep(millis + 2000);
-        Stage.on(stage.fleet, () -> {
-            stage.roster.change(member(server, Phase.GONE));
-            server.replace(Stage.id(1000 + names++));
-            server.restart();
+    private void replaceBackend(EngineServer backend, int durationMillis) throws Exception {
+        Testbed.runOn(
+                testbed.backendWorker, () -> testbed.discovery.applyChanges(member(backend, EndpointPhase.DRAINING)));
+        TimeUnit.MILLISECONDS.sleep(durationMillis + 2000);
+        Testbed.runOn(testbed.backendWorker, () -> {
+            testbed.discovery.applyChanges(member(backend, EndpointPhase.GONE));
+            backend.replace(Testbed.backendId(1000 + usedBackendIds++));
+            backend.restart();
         });
         TimeUnit.MILLISECONDS.sleep(300);
-        Stage.on(stage.fleet, () -> stage.roster.change(member(server, Phase.READY)));
+        Testbed.runOn(
+                testbed.backendWorker, () -> testbed.discovery.applyChanges(member(backend, EndpointPhase.READY)));
     }
 
-    private void spoilt(EngineServer server, int which, int millis) throws Exception {
+    private void corruptResponses(EngineServer backend, int selector, int durationMillis) throws Exception {
         Fault.Kind[] kinds = Fault.Kind.values();
-        Stage.on(
-                stage.fleet,
-                () -> server.spoil(id -> Math.floorMod(id.hashCode() + which, 3) == 0
+        Testbed.runOn(
+                testbed.backendWorker,
+                () -> backend.injectFaults(id -> Math.floorMod(id.hashCode() + selector, 3) == 0
                         ? new Fault(
-                                kinds[Math.floorMod(id.hashCode() / 3 + which, kinds.length)],
+                                kinds[Math.floorMod(id.hashCode() / 3 + selector, kinds.length)],
                                 Math.floorMod(id.hashCode(), 900),
-                                50 * MS)
+                                50 * NANOS_PER_MILLI)
                         : null));
-        TimeUnit.MILLISECONDS.sleep(millis);
-        Stage.on(stage.fleet, () -> server.spoil(id -> null));
+        TimeUnit.MILLISECONDS.sleep(durationMillis);
+        Testbed.runOn(testbed.backendWorker, () -> backend.injectFaults(id -> null));
     }
 
-    private void discoveryDown(int millis) throws Exception {
+    private void interruptDiscovery(int durationMillis) throws Exception {
         synchronized (this) {
-            Stage.on(stage.fleet, () -> stage.roster.down());
-            TimeUnit.MILLISECONDS.sleep(millis);
-            Stage.on(stage.fleet, () -> stage.roster.up());
+            Testbed.runOn(testbed.backendWorker, () -> testbed.discovery.stopServing());
+            TimeUnit.MILLISECONDS.sleep(durationMillis);
+            Testbed.runOn(testbed.backendWorker, () -> testbed.discovery.resumeServing());
         }
     }
 
     // ---- Clients ----------------------------------------------------------------------------------------
 
-    private void clientsWithHalfRequests(int number, int which) throws Exception {
-        try (Strangers strangers = new Strangers(stage.nodes.get(number).address())) {
-            strangers.connect(8, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Req".substring(0, 1 + which % 50));
-            if (!strangers.areClosedWithin(3000 + 500)) {
-                faulty(stage.nodes.get(number).name() + " kept half a request for over 3.5 s");
+    private void sendPartialRequests(int nodeIndex, int selector) throws Exception {
+        try (MalformedClients clients =
+                new MalformedClients(testbed.nodes.get(nodeIndex).address())) {
+            clients.connect(
+                    8, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Req".substring(0, 1 + selector % 50));
+            if (!clients.areClosedWithin(3000 + 500)) {
+                recordFailure(testbed.nodes.get(nodeIndex).name() + " kept half a request for over 3.5 s");
             }
         }
     }
 
-    private void idleClients(int number) throws Exception {
-        try (Strangers strangers = new Strangers(stage.nodes.get(number).address())) {
-            strangers.connect(40, "");
+    private void openIdleConnections(int nodeIndex) throws Exception {
+        try (MalformedClients clients =
+                new MalformedClients(testbed.nodes.get(nodeIndex).address())) {
+            clients.connect(40, "");
             TimeUnit.MILLISECONDS.sleep(500);
         }
     }
 
     // ---- The end ----------------------------------------------------------------------------------------
 
-    private void healAll() {
+    private void removeSystemCallFaults() {
         for (FaultShim shim : shims) {
-            for (FaultShim.Call call : FaultShim.Call.values()) {
+            for (FaultShim.SystemCall call : FaultShim.SystemCall.values()) {
                 shim.heal(call);
             }
             shim.limitTransfers(0, 0);
         }
     }
 
-    private void endAll() throws Exception {
-        for (NodeProcess node : stage.nodes) {
-            node.signal("TERM");
+    private void shutDownNodes() throws Exception {
+        for (NodeProcess node : testbed.nodes) {
+            node.sendSignal("TERM");
         }
-        for (NodeProcess node : stage.nodes) {
-            int status = node.awaitEnd(END_MS);
-            if (status != TERMINATED) {
-                faulty(node.name() + " ended with status " + status);
+        for (NodeProcess node : testbed.nodes) {
+            int status = node.awaitExit(SHUTDOWN_TIMEOUT_MILLIS);
+            if (status != SIGTERM_EXIT_STATUS) {
+                recordFailure(node.name() + " ended with status " + status);
             }
         }
     }
 
-    private Verdict verdict(Clients clients, long seed, int nodes) throws IOException {
-        List<String> logged = new ArrayList<>();
-        for (NodeProcess node : stage.nodes) {
-            FAULT_IN_LOG
-                    .matcher(node.log())
+    private ScenarioReport createReport(LoadGenerator generator, long seed, int nodes) throws IOException {
+        List<String> loggedFailures = new ArrayList<>();
+        for (NodeProcess node : testbed.nodes) {
+            LOGGED_FAILURE
+                    .matcher(node.readLog())
                     .results()
                     .limit(3)
-                    .forEach(line -> logged.add(node.name() + ": " + line.group()));
+                    .forEach(line -> loggedFailures.add(node.name() + ": " + line.group()));
         }
-        Verdict verdict = new Verdict();
-        Map<Rule, List<String>> broken = stage.rules.broken();
+        ScenarioReport report = new ScenarioReport();
+        Map<Rule, List<String>> violations = testbed.rules.violations();
         for (Rule rule : Rule.values()) {
-            List<String> cases = broken.getOrDefault(rule, List.of());
-            verdict.claim("rule " + rule, Integer.toString(cases.size()), "0", cases.isEmpty());
+            List<String> cases = violations.getOrDefault(rule, List.of());
+            report.addCheck("rule " + rule, Integer.toString(cases.size()), "0", cases.isEmpty());
         }
-        verdict.claim("ends, readiness and half requests", Integer.toString(faults.size()), "0", faults.isEmpty());
-        verdict.claim("lines of faults in the nodes' logs", Integer.toString(logged.size()), "0", logged.isEmpty());
-        verdict.figure("seed, nodes, troubles", seed + ", " + nodes + ", " + troubles.size());
-        verdict.figure("turns", clients.totals().toString());
-        verdict.figure(
+        report.addCheck(
+                "ends, readiness and half requests", Integer.toString(failures.size()), "0", failures.isEmpty());
+        report.addCheck(
+                "lines of faults in the nodes' logs",
+                Integer.toString(loggedFailures.size()),
+                "0",
+                loggedFailures.isEmpty());
+        report.addMeasurement("seed, nodes, troubles", seed + ", " + nodes + ", " + injectedFaults.size());
+        report.addMeasurement("turns", generator.outcomeTotals().toString());
+        report.addMeasurement(
                 "system calls that failed",
                 shims.isEmpty()
                         ? "none: no C compiler"
-                        : Long.toString(
-                                shims.stream().mapToLong(FaultShim::failures).sum()));
-        if (!broken.isEmpty() || !faults.isEmpty() || !logged.isEmpty()) {
-            broken.forEach(
+                        : Long.toString(shims.stream()
+                                .mapToLong(FaultShim::failureCount)
+                                .sum()));
+        if (!violations.isEmpty() || !failures.isEmpty() || !loggedFailures.isEmpty()) {
+            violations.forEach(
                     (rule, cases) -> cases.stream().limit(5).forEach(line -> System.out.println(rule + ": " + line)));
-            faults.forEach(System.out::println);
-            logged.forEach(System.out::println);
-            troubles.forEach(System.out::println);
+            failures.forEach(System.out::println);
+            loggedFailures.forEach(System.out::println);
+            injectedFaults.forEach(System.out::println);
             if (System.getProperty("lab.logs") != null) {
-                Folders.copy(stage.folder, Path.of(System.getProperty("lab.logs")));
+                Directories.copyFiles(testbed.directory, Path.of(System.getProperty("lab.logs")));
             }
         }
-        return verdict;
+        return report;
     }
 }
--- a/lab/src/main/java/fawnlb/lab/scenario/StreamFaults.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/StreamFaults.java
@@ -1,13 +1,13 @@
 package fawnlb.lab.scenario;
 
 import fawnlb.admin.AdminClient;
-import fawnlb.dialect.Dialect;
+import fawnlb.lab.engine.ApiFormat;
+import fawnlb.lab.engine.EngineProfile;
 import fawnlb.lab.engine.EngineServer;
-import fawnlb.lab.engine.Kind;
-import fawnlb.lab.engine.Speech;
-import fawnlb.lab.load.Asker;
+import fawnlb.lab.load.LoadClient;
 import fawnlb.lab.net.Fault;
 import fawnlb.lab.net.Ports;
+import fawnlb.translation.Dialect;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -31,21 +31,21 @@
  * a real node. What comes back is held against what the same request gets of an answer that nothing was done to.
  */
 public final class StreamFaults implements Scenario {
-    private static final long MS = 1_000_000;
-    private static final int BOXES = 16;
-    private static final int TOKENS = 9;
-    private static final int AT_ONCE = 150;
-    private static final int CLEAN = 2;
-    private static final int TRIES = 40;
-    private static final int SAMPLE = 500;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final int BACKEND_COUNT = 16;
+    private static final int OUTPUT_TOKENS = 9;
+    private static final int CONCURRENT_REQUESTS = 150;
+    private static final int CLEAN_REQUESTS_PER_FAULT = 2;
+    private static final int MAX_REPEATS = 40;
+    private static final int QUICK_SAMPLE_SIZE = 500;
     private static final int DEADLINE_MS = 4000;
-    private static final Pattern BOX = Pattern.compile("s-[0-9a-f]{8}");
+    private static final Pattern BACKEND_ID = Pattern.compile("s-[0-9a-f]{8}");
     /** An end's name, as the node's answers put it. */
-    private static final Pattern NAMED = Pattern.compile("\\([a-z]+(-[a-z]+)*\\)");
+    private static final Pattern NAMED_REASON = Pattern.compile("\\([a-z]+(-[a-z]+)*\\)");
 
-    private static final Pattern DONE = Pattern.compile("data: \\[DONE\\]\n\n");
-    private static final Pattern STOP = Pattern.compile("event: message_stop\ndata: [^\n]*\n\n");
-    private static final String STREAMS =
+    private static final Pattern CHAT_END_EVENT = Pattern.compile("data: \\[DONE\\]\n\n");
+    private static final Pattern MESSAGES_END_EVENT = Pattern.compile("event: message_stop\ndata: [^\n]*\n\n");
+    private static final String STREAMS_FILE =
             "{\"silence\":{\"pause-ms\":250,\"most-ms\":400,\"first-event-least-ms\":250},"
                     + "\"readers\":{\"patience-ms\":2000},\"admin\":{\"listen\":\"127.0.0.1:%d\"}}";
 
@@ -59,60 +59,62 @@
         return "every fault at every byte of an answer, each pair of dialects, streamed and whole: one clear final answer each";
     }
 
-    /** What is asked and what is done to the answer. {@code always}: to each attempt, not to the first alone. */
-    private static final class Planned {
-        final Dialect client;
-        final boolean stream;
+    /**
+     * What is asked and what is done to the answer. {@code onEveryAttempt}: to each attempt, not to the first alone.
+     */
+    private static final class PlannedRequest {
+        final Dialect clientDialect;
+        final boolean streaming;
         final Fault fault;
-        final boolean always;
+        final boolean onEveryAttempt;
         final AtomicInteger attempts = new AtomicInteger();
-        int tries;
+        int repeats;
 
-        Planned(Dialect client, boolean stream, Fault fault, boolean always) {
-            this.client = client;
-            this.stream = stream;
+        PlannedRequest(Dialect client, boolean stream, Fault fault, boolean onEveryAttempt) {
+            this.clientDialect = client;
+            this.streaming = stream;
             this.fault = fault;
-            this.always = always;
+            this.onEveryAttempt = onEveryAttempt;
         }
 
-        Fault next() {
-            return attempts.getAndIncrement() == 0 || always ? fault : null;
+        Fault nextAttemptFault() {
+            return attempts.getAndIncrement() == 0 || onEveryAttempt ? fault : null;
         }
     }
 
     /** What became of all requests, and those that ended as none may. */
-    private static final class Tally {
-        final Map<String, Map<String, Integer>> table = new TreeMap<>();
-        final List<String> wrong = new ArrayList<>();
-        final Map<String, Integer> wrongs = new TreeMap<>();
-        int asked;
-        int untouched;
+    private static final class FaultStatistics {
+        final Map<String, Map<String, Integer>> outcomeCounts = new TreeMap<>();
+        final List<String> violationExamples = new ArrayList<>();
+        final Map<String, Integer> violationCounts = new TreeMap<>();
+        int faultyRequests;
+        int cleanRequests;
 
-        void count(String row, String column) {
-            table.computeIfAbsent(row, key -> new TreeMap<>()).merge(column, 1, Integer::sum);
+        void countOutcome(String row, String column) {
+            outcomeCounts.computeIfAbsent(row, key -> new TreeMap<>()).merge(column, 1, Integer::sum);
         }
 
-        void wrong(String what, String how) {
-            wrongs.merge(what, 1, Integer::sum);
-            if (wrongs.get(what) <= 3) {
-                wrong.add(what + ": " + how);
+        void addViolation(String what, String how) {
+            violationCounts.merge(what, 1, Integer::sum);
+            if (violationCounts.get(what) <= 3) {
+                violationExamples.add(what + ": " + how);
             }
         }
     }
 
     @Override
-    public Verdict play(long seed, boolean quick) throws Exception {
-        Tally tally = new Tally();
-        boolean quiet = true;
+    public ScenarioReport run(long seed, boolean quick) throws Exception {
+        FaultStatistics statistics = new FaultStatistics();
+        boolean allClosed = true;
         for (Dialect backend : Dialect.values()) {
-            quiet &= new Round(backend, tally, new Random(seed), quick).run();
+            allClosed &= new FaultRound(backend, statistics, new Random(seed), quick).run();
         }
         System.out.printf("%-40s %s%n", "fault, and where it struck", "what the client got");
-        tally.table.forEach((row, columns) -> System.out.printf("%-40s %s%n", row, columns));
-        tally.wrong.forEach(System.out::println);
-        Verdict verdict = new Verdict();
-        verdict.figure("requests with a fault on their answers", Integer.toString(tally.asked));
-        verdict.figure("requests beside them with none", Integer.toString(tally.untouched));
+        statistics.outcomeCounts.forEach((row, columns) -> System.out.printf("%-40s %s%n", row, columns));
+        statistics.violationExamples.forEach(System.out::println);
+        ScenarioReport report = new ScenarioReport();
+        report.addMeasurement("requests with a fault on their answers", Integer.toString(statistics.faultyRequests));
+        report.addMeasurement("requests beside them with none", Integer.toString(statistics.cleanRequests));
         for (String what : List.of(
                 "no final answer",
                 "looks finished and is not",
@@ -120,48 +122,49 @@
                 "no clear answer",
                 "a harmless fault that did harm",
                 "nothing was done to it, and it is not whole")) {
-            int count = tally.wrongs.getOrDefault(what, 0);
-            verdict.claim(what, Integer.toString(count), "0", count == 0);
+            int count = statistics.violationCounts.getOrDefault(what, 0);
+            report.addCheck(what, Integer.toString(count), "0", count == 0);
         }
-        verdict.claim("streams and bytes left at the nodes afterwards", quiet ? "none" : "some", "none", quiet);
-        return verdict;
+        report.addCheck(
+                "streams and bytes left at the nodes afterwards", allClosed ? "none" : "some", "none", allClosed);
+        return report;
     }
 
     /** All that is asked of backends of one dialect. */
-    private static final class Round {
-        private final Dialect backend;
-        private final Tally tally;
+    private static final class FaultRound {
+        private final Dialect backendDialect;
+        private final FaultStatistics statistics;
         private final Random random;
         private final boolean quick;
-        private final Map<String, Planned> planned = new ConcurrentHashMap<>();
-        private final Map<String, String> expected = new HashMap<>();
-        private final Map<String, int[]> lengths = new HashMap<>();
-        private final Deque<Planned> queue = new ArrayDeque<>();
+        private final Map<String, PlannedRequest> requestsById = new ConcurrentHashMap<>();
+        private final Map<String, String> expectedBodies = new HashMap<>();
+        private final Map<String, int[]> responseLengths = new HashMap<>();
+        private final Deque<PlannedRequest> queue = new ArrayDeque<>();
         private final CountDownLatch done = new CountDownLatch(1);
-        private Asker asker;
-        private int out;
-        private long ids;
+        private LoadClient client;
+        private int inFlight;
+        private long lastRequestId;
 
-        Round(Dialect backend, Tally tally, Random random, boolean quick) {
-            this.backend = backend;
-            this.tally = tally;
+        FaultRound(Dialect backend, FaultStatistics statistics, Random random, boolean quick) {
+            this.backendDialect = backend;
+            this.statistics = statistics;
             this.random = random;
             this.quick = quick;
         }
 
         /** Whether the node is quiet in the end. */
         boolean run() throws Exception {
-            boolean messages = backend == Dialect.MESSAGES;
-            Kind kind =
-                    new Kind(messages ? "slow-rate" : "full-rate", 100, 100, 1_000_000, 2048, 2, 0.01, 1e6, 1, 0, 0);
-            try (Stage stage = new Stage()) {
-                for (int i = 0; i < BOXES; i++) {
-                    stage.box(kind, messages ? Speech.MESSAGES : Speech.CHAT)
-                            .spoil(id -> planned.get(id).next());
+            boolean messages = backendDialect == Dialect.MESSAGES;
+            EngineProfile profile = new EngineProfile(
+                    messages ? "slow-rate" : "full-rate", 100, 100, 1_000_000, 2048, 2, 0.01, 1e6, 1, 0, 0);
+            try (Testbed testbed = new Testbed()) {
+                for (int i = 0; i < BACKEND_COUNT; i++) {
+                    testbed.addBackend(profile, messages ? ApiFormat.MESSAGES : ApiFormat.CHAT)
+                            .injectFaults(id -> requestsById.get(id).nextAttemptFault());
                 }
-                int front = Ports.free();
-                InetSocketAddress admin = new InetSocketAddress("127.0.0.1", Ports.free());
-                stage.start(
+                int front = Ports.findFreePort();
+                InetSocketAddress admin = new InetSocketAddress("127.0.0.1", Ports.findFreePort());
+                testbed.start(
                         1,
                         0,
                         Map.of(
@@ -173,178 +176,188 @@
                                         + ",\"budget\":{\"requests\":"
                                         + "1000000000,\"tokens\":1000000000,\"window-ms\":60000}}]}",
                                 "streams",
-                                String.format(STREAMS, admin.getPort())));
-                asker = new Asker(
-                        stage.callers.getIoThread(),
-                        stage.clock,
-                        stage.rules,
+                                String.format(STREAMS_FILE, admin.getPort())));
+                client = new LoadClient(
+                        testbed.clientWorker.getIoThread(),
+                        testbed.clientTimers,
+                        testbed.rules,
                         "n0",
                         new InetSocketAddress("127.0.0.1", front));
-                learn(stage);
-                fill();
-                System.err.printf("%s targets: %d requests%n", backend, queue.size());
-                Stage.on(stage.callers, () -> {
-                    for (int i = 0; i < AT_ONCE; i++) {
-                        next();
+                recordCleanResponses(testbed);
+                fillQueue();
+                System.err.printf("%s targets: %d requests%n", backendDialect, queue.size());
+                Testbed.runOn(testbed.clientWorker, () -> {
+                    for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
+                        sendNext();
                     }
                 });
                 done.await();
-                stage.check();
-                boolean quiet = false;
-                for (int i = 0; i < 100 && !quiet; i++) {
+                testbed.requireNodesAlive();
+                boolean allClosed = false;
+                for (int i = 0; i < 100 && !allClosed; i++) {
                     TimeUnit.MILLISECONDS.sleep(100);
-                    quiet = AdminClient.backends(admin, false).contains("\n0 stream(s) open, 0 byte(s) held");
+                    allClosed = AdminClient.fetchTargets(admin, false).contains("\n0 stream(s) open, 0 byte(s) held");
                 }
-                System.out.println(
-                        "streams at the node, " + backend + " targets:\n" + AdminClient.backends(admin, false));
-                return quiet;
+                System.out.println("streams at the node, " + backendDialect + " targets:\n"
+                        + AdminClient.fetchTargets(admin, false));
+                return allClosed;
             }
         }
 
         /** What an answer is that nothing was done to, and how long it is. */
-        private void learn(Stage stage) throws Exception {
+        private void recordCleanResponses(Testbed testbed) throws Exception {
             for (Dialect client : Dialect.values()) {
                 for (boolean stream : new boolean[] {true, false}) {
-                    Asker.Answer[] got = new Asker.Answer[1];
-                    CountDownLatch came = new CountDownLatch(1);
-                    Planned clean = new Planned(client, stream, null, false);
-                    Stage.on(
-                            stage.callers,
-                            () -> ask(clean, answer -> {
-                                got[0] = answer;
-                                came.countDown();
+                    LoadClient.ClientResponse[] received = new LoadClient.ClientResponse[1];
+                    CountDownLatch arrived = new CountDownLatch(1);
+                    PlannedRequest clean = new PlannedRequest(client, stream, null, false);
+                    Testbed.runOn(
+                            testbed.clientWorker,
+                            () -> send(clean, response -> {
+                                received[0] = response;
+                                arrived.countDown();
                             }));
-                    came.await();
-                    if (got[0].status() != 200 || !got[0].whole()) {
-                        throw new IllegalStateException("a clean answer failed: " + got[0]);
+                    arrived.await();
+                    if (received[0].status() != 200 || !received[0].complete()) {
+                        throw new IllegalStateException("a clean answer failed: " + received[0]);
                     }
-                    expected.put(client + " " + stream, same(got[0].body()));
-                    lengths.put(client + " " + stream, last(stage.boxes));
+                    expectedBodies.put(client + " " + stream, withoutBackendId(received[0].body()));
+                    responseLengths.put(client + " " + stream, lastResponseLengths(testbed.backends));
                 }
             }
         }
 
         /** Head and whole length of the answer that was given last. */
-        private static int[] last(List<EngineServer> boxes) {
-            EngineServer last = Collections.max(boxes, (a, b) -> Long.compare(a.answeredAt(), b.answeredAt()));
-            return new int[] {last.headLength(), last.answerLength()};
+        private static int[] lastResponseLengths(List<EngineServer> backends) {
+            EngineServer last =
+                    Collections.max(backends, (a, b) -> Long.compare(a.lastResponseAt(), b.lastResponseAt()));
+            return new int[] {last.lastHeadBytes(), last.lastResponseBytes()};
         }
 
-        private void fill() {
-            List<Planned> all = new ArrayList<>();
-            lengths.forEach((key, length) -> {
+        private void fillQueue() {
+            List<PlannedRequest> all = new ArrayList<>();
+            responseLengths.forEach((key, length) -> {
                 Dialect client = Dialect.valueOf(key.split(" ")[0]);
                 boolean stream = Boolean.parseBoolean(key.split(" ")[1]);
                 for (Fault.Kind kind : Fault.Kind.values()) {
-                    for (int at = 0; at < (kind.placed() ? length[1] : 1); at++) {
-                        all.add(new Planned(client, stream, new Fault(kind, at, 50 * MS), random.nextBoolean()));
+                    for (int at = 0; at < (kind.isPositional() ? length[1] : 1); at++) {
+                        all.add(new PlannedRequest(
+                                client, stream, new Fault(kind, at, 50 * NANOS_PER_MILLI), random.nextBoolean()));
                     }
                 }
             });
             Collections.shuffle(all, random);
-            for (Planned one : quick ? all.subList(0, Math.min(SAMPLE, all.size())) : all) {
-                queue.add(one);
-                for (int i = 0; i < CLEAN; i++) {
-                    queue.add(new Planned(one.client, one.stream, null, false));
+            for (PlannedRequest request : quick ? all.subList(0, Math.min(QUICK_SAMPLE_SIZE, all.size())) : all) {
+                queue.add(request);
+                for (int i = 0; i < CLEAN_REQUESTS_PER_FAULT; i++) {
+                    queue.add(new PlannedRequest(request.clientDialect, request.streaming, null, false));
                 }
             }
         }
 
-        private void next() {
-            Planned one = queue.poll();
-            if (one == null) {
-                if (out == 0) {
+        private void sendNext() {
+            PlannedRequest request = queue.poll();
+            if (request == null) {
+                if (inFlight == 0) {
                     done.countDown();
                 }
                 return;
             }
-            out++;
-            ask(one, answer -> {
-                out--;
-                boolean untouched = one.attempts.get() == 0 && answer.status() == 503;
-                if (untouched && one.fault != null && one.tries++ < TRIES) {
+            inFlight++;
+            send(request, response -> {
+                inFlight--;
+                boolean untouched = request.attempts.get() == 0 && response.status() == 503;
+                if (untouched && request.fault != null && request.repeats++ < MAX_REPEATS) {
                     // Refused unheard, which says nothing of its fault: it comes again later.
-                    queue.add(one);
+                    queue.add(request);
                 } else {
-                    judge(one, answer);
+                    evaluate(request, response);
                 }
-                next();
+                sendNext();
             });
         }
 
-        private void ask(Planned one, Consumer<Asker.Answer> told) {
-            String id = String.format("f-%s-%08x", backend, ++ids);
-            planned.put(id, one);
-            String body = "{\"model\":\"advisor\",\"max_tokens\":" + TOKENS + (one.stream ? ",\"stream\":true" : "")
+        private void send(PlannedRequest request, Consumer<LoadClient.ClientResponse> callback) {
+            String id = String.format("f-%s-%08x", backendDialect, ++lastRequestId);
+            requestsById.put(id, request);
+            String body = "{\"model\":\"advisor\",\"max_tokens\":" + OUTPUT_TOKENS
+                    + (request.streaming ? ",\"stream\":true" : "")
                     + ",\"messages\":[{\"role\":\"user\",\"content\":\"?\"}]}";
-            asker.ask(
-                    new Asker.Question(id, one.client.path(), "x-api-key: k\r\nX-Class: advisor-chat\r\n", body),
-                    answer -> {
-                        planned.remove(id);
-                        told.accept(answer);
+            client.send(
+                    new LoadClient.ClientRequest(
+                            id, request.clientDialect.path(), "x-api-key: k\r\nX-Class: advisor-chat\r\n", body),
+                    response -> {
+                        requestsById.remove(id);
+                        callback.accept(response);
                     });
         }
 
-        private static String same(String body) {
-            return BOX.matcher(body).replaceAll("s-box");
+        private static String withoutBackendId(String body) {
+            return BACKEND_ID.matcher(body).replaceAll("s-box");
         }
 
-        private void judge(Planned one, Asker.Answer answer) {
-            String key = one.client + " " + one.stream;
-            String what = result(one, answer, same(answer.body()).equals(expected.get(key)));
-            if (one.fault == null) {
-                tally.untouched++;
-                boolean refused = what.startsWith("503");
-                tally.count("none", what);
-                if (!what.equals("whole") && !refused) {
-                    tally.wrong("nothing was done to it, and it is not whole", what + " " + answer);
+        private void evaluate(PlannedRequest request, LoadClient.ClientResponse response) {
+            String key = request.clientDialect + " " + request.streaming;
+            String outcome = classify(
+                    request, response, withoutBackendId(response.body()).equals(expectedBodies.get(key)));
+            if (request.fault == null) {
+                statistics.cleanRequests++;
+                boolean refused = outcome.startsWith("503");
+                statistics.countOutcome("none", outcome);
+                if (!outcome.equals("whole") && !refused) {
+                    statistics.addViolation("nothing was done to it, and it is not whole", outcome + " " + response);
                 }
                 return;
             }
-            tally.asked++;
-            int head = lengths.get(key)[0];
-            String place = !one.fault.kind().placed() ? "" : one.fault.at() < head ? ", head" : ", body";
-            tally.count(
-                    one.fault.kind().name().toLowerCase(Locale.ROOT)
-                            + place
-                            + (one.stream ? ", streamed" : ", whole")
-                            + (one.always ? ", always" : ", once"),
-                    what);
-            if (one.fault.kind().harmless() && !what.equals("whole") && !what.startsWith("503")) {
-                tally.wrong("a harmless fault that did harm", one.fault + " " + what + " " + answer);
+            statistics.faultyRequests++;
+            int headBytes = responseLengths.get(key)[0];
+            String location = !request.fault.kind().isPositional()
+                    ? ""
+                    : request.fault.offset() < headBytes ? ", head" : ", body";
+            statistics.countOutcome(
+                    request.fault.kind().name().toLowerCase(Locale.ROOT)
+                            + location
+                            + (request.streaming ? ", streamed" : ", whole")
+                            + (request.onEveryAttempt ? ", always" : ", once"),
+                    outcome);
+            if (request.fault.kind().isHarmless() && !outcome.equals("whole") && !outcome.startsWith("503")) {
+                statistics.addViolation(
+                        "a harmless fault that did harm", request.fault + " " + outcome + " " + response);
             }
         }
 
         /** In a word what the client got; an answer that may not be is counted as wrong. */
-        private String result(Planned one, Asker.Answer answer, boolean same) {
-            String where = one.fault + " " + one.client + " client, " + backend + " target, "
-                    + (one.stream ? "streamed" : "whole") + ": " + answer;
-            if (answer.status() == 0) {
-                tally.wrong("no final answer", where);
+        private String classify(PlannedRequest request, LoadClient.ClientResponse response, boolean bodyMatches) {
+            String description = request.fault + " " + request.clientDialect + " client, " + backendDialect
+                    + " target, " + (request.streaming ? "streamed" : "whole") + ": " + response;
+            if (response.status() == 0) {
+                statistics.addViolation("no final answer", description);
                 return "nothing";
             }
-            if (answer.status() == 200 && answer.whole()) {
-                if (!same) {
-                    tally.wrong("looks finished and is not", where);
+            if (response.status() == 200 && response.complete()) {
+                if (!bodyMatches) {
+                    statistics.addViolation("looks finished and is not", description);
                 }
                 return "whole";
             }
-            if (answer.status() == 200) {
+            if (response.status() == 200) {
                 // An event without the empty line behind it is none to its reader.
-                Pattern last = one.client == Dialect.CHAT ? DONE : STOP;
-                if (!one.stream || last.matcher(answer.body()).find() && !same) {
-                    tally.wrong("looks finished and is not", where);
+                Pattern last = request.clientDialect == Dialect.CHAT ? CHAT_END_EVENT : MESSAGES_END_EVENT;
+                if (!request.streaming || last.matcher(response.body()).find() && !bodyMatches) {
+                    statistics.addViolation("looks finished and is not", description);
                 }
-                boolean said = answer.body().contains("\"error\":{")
-                        && NAMED.matcher(answer.body()).find();
-                return same ? "all, cut behind it" : said ? "cut, with its name" : "cut";
+                boolean namesReason = response.body().contains("\"error\":{")
+                        && NAMED_REASON.matcher(response.body()).find();
+                return bodyMatches ? "all, cut behind it" : namesReason ? "cut, with its name" : "cut";
             }
-            if (answer.status() != 502 && answer.status() != 503 && answer.status() != 504 || !answer.whole()) {
-                tally.wrong("no clear answer", where);
-            } else if (one.attempts.get() > 0 && !NAMED.matcher(answer.body()).find()) {
-                tally.wrong("an end without a name", where);
+            if (response.status() != 502 && response.status() != 503 && response.status() != 504
+                    || !response.complete()) {
+                statistics.addViolation("no clear answer", description);
+            } else if (request.attempts.get() > 0
+                    && !NAMED_REASON.matcher(response.body()).find()) {
+                statistics.addViolation("an end without a name", description);
             }
-            return Integer.toString(answer.status());
+            return Integer.toString(response.status());
         }
     }
 }
--- a/lab/src/main/java/fawnlb/lab/shim/FaultShim.java
+++ b/lab/src/main/java/fawnlb/lab/shim/FaultShim.java
@@ -17,18 +17,18 @@
  * map.
  */
 public final class FaultShim {
-    private static final int WORDS = 64;
+    private static final int CONTROL_WORDS = 64;
     /** Places of words, as {@code faults.c} has them. */
-    private static final int WALL_OFFSET = 0;
+    private static final int WALL_CLOCK_OFFSET_WORD = 0;
 
-    private static final int MAX_READ = 1;
-    private static final int MAX_WRITE = 2;
-    private static final int CALLS = 8;
+    private static final int MAX_READ_WORD = 1;
+    private static final int MAX_WRITE_WORD = 2;
+    private static final int FIRST_CALL_WORD = 8;
     private static final int WORDS_PER_CALL = 4;
-    private static final long COMPILE_SECONDS = 60;
+    private static final long COMPILE_TIMEOUT_SECONDS = 60;
 
     /** System calls that can fail. */
-    public enum Call {
+    public enum SystemCall {
         ACCEPT,
         CONNECT,
         SOCKET,
@@ -72,8 +72,8 @@
 
     /** Whether this machine has a C compiler to make the library with. */
     public static boolean isAvailable() {
-        for (String folder : System.getenv().getOrDefault("PATH", "").split(":")) {
-            if (Files.isExecutable(Path.of(folder, "cc"))) {
+        for (String directory : System.getenv().getOrDefault("PATH", "").split(":")) {
+            if (Files.isExecutable(Path.of(directory, "cc"))) {
                 return true;
             }
         }
@@ -81,12 +81,12 @@
     }
 
     /** Compiles the library into this folder; nodes share it. */
-    public static Path compile(Path folder) throws IOException, InterruptedException {
-        Path source = folder.resolve("faults.c");
+    public static Path compile(Path directory) throws IOException, InterruptedException {
+        Path source = directory.resolve("faults.c");
         try (InputStream in = FaultShim.class.getResourceAsStream("faults.c")) {
             Files.copy(in, source);
         }
-        Path library = folder.resolve("faults.so");
+        Path library = directory.resolve("faults.so");
         Process compiler = new ProcessBuilder(
                         "cc",
                         "-shared",
@@ -100,7 +100,7 @@
                         "-ldl")
                 .inheritIO()
                 .start();
-        if (!compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
+        if (!compiler.waitFor(COMPILE_TIMEOUT_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
             throw new IOException("the library of faults can't be compiled");
         }
         return library;
@@ -110,7 +110,7 @@
     public static FaultShim create(Path library, Path control) throws IOException {
         try (FileChannel file = FileChannel.open(
                 control, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            LongBuffer words = file.map(FileChannel.MapMode.READ_WRITE, 0, (long) WORDS * Long.BYTES)
+            LongBuffer words = file.map(FileChannel.MapMode.READ_WRITE, 0, (long) CONTROL_WORDS * Long.BYTES)
                     .order(ByteOrder.nativeOrder())
                     .asLongBuffer();
             return new FaultShim(library, control, words);
@@ -119,7 +119,7 @@
 
     /** Faults of nobody: for a machine without a compiler. */
     public static FaultShim none() {
-        return new FaultShim(null, null, LongBuffer.allocate(WORDS));
+        return new FaultShim(null, null, LongBuffer.allocate(CONTROL_WORDS));
     }
 
     /** What the node's process has to be started with. */
@@ -129,46 +129,46 @@
 
     /** Steps the wall clock to so many nanoseconds from the machine's; the monotonic clock runs on. */
     public void stepWallClock(long offsetNanos) {
-        words.put(WALL_OFFSET, offsetNanos);
+        words.put(WALL_CLOCK_OFFSET_WORD, offsetNanos);
     }
 
     /** From here on every so many-th of these calls fails. */
-    public void fail(Call call, Errno error, int oneIn) {
-        words.put(place(call) + 1, oneIn);
-        words.put(place(call), error.number);
+    public void fail(SystemCall call, Errno error, int oneIn) {
+        words.put(firstWordOf(call) + 1, oneIn);
+        words.put(firstWordOf(call), error.number);
     }
 
     /** The next so many of these calls fail. */
-    public void failNext(Call call, Errno error, int count) {
+    public void failNext(SystemCall call, Errno error, int count) {
         fail(call, error, -count);
     }
 
     /** These calls work again. */
-    public void heal(Call call) {
-        words.put(place(call), 0);
+    public void heal(SystemCall call) {
+        words.put(firstWordOf(call), 0);
     }
 
     /** Sockets read and write so many bytes at a time at most; 0 for as many as there are. */
     public void limitTransfers(int maxRead, int maxWrite) {
-        words.put(MAX_READ, maxRead);
-        words.put(MAX_WRITE, maxWrite);
+        words.put(MAX_READ_WORD, maxRead);
+        words.put(MAX_WRITE_WORD, maxWrite);
     }
 
     /** How many of these calls have failed so far. */
-    public long failures(Call call) {
-        return words.get(place(call) + 2);
+    public long failureCount(SystemCall call) {
+        return words.get(firstWordOf(call) + 2);
     }
 
     /** How many calls of all kinds have failed so far. */
-    public long failures() {
+    public long failureCount() {
         long sum = 0;
-        for (Call call : Call.values()) {
-            sum += failures(call);
+        for (SystemCall call : SystemCall.values()) {
+            sum += failureCount(call);
         }
         return sum;
     }
 
-    private static int place(Call call) {
-        return CALLS + WORDS_PER_CALL * call.ordinal();
+    private static int firstWordOf(SystemCall call) {
+        return FIRST_CALL_WORD + WORDS_PER_CALL * call.ordinal();
     }
 }
--- a/lab/src/test/java/fawnlb/lab/engine/EngineTest.java
+++ b/lab/src/test/java/fawnlb/lab/engine/EngineTest.java
@@ -11,10 +11,11 @@
 import org.junit.Test;
 
 public class EngineTest {
-    private static final long MS = 1_000_000;
-    private static final long S = 1000 * MS;
-    private static final Kind KIND = new Kind("k", 2, 1, 10_000, 1000, 10, 1, 10_000, 1, 3, 5);
-    private static final Engine.Cold COLD = new Engine.Cold(0.5, 10 * S, 4, 3 * S);
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
+    private static final EngineProfile PROFILE = new EngineProfile("k", 2, 1, 10_000, 1000, 10, 1, 10_000, 1, 3, 5);
+    private static final Engine.SlowStartProfile SLOW_START =
+            new Engine.SlowStartProfile(0.5, 10 * NANOS_PER_SECOND, 4, 3 * NANOS_PER_SECOND);
 
     private final List<String> tokens = new ArrayList<>();
 
@@ -23,121 +24,124 @@
     }
 
     /** Runs so many steps; how long the last one took, in milliseconds. */
-    private static double steps(Engine engine, long now, int count) {
+    private static double runSteps(Engine engine, long now, int count) {
         double took = 0;
         for (int i = 0; i < count; i++) {
-            took = (engine.begin(now) - now) / (double) MS;
-            engine.end();
+            took = (engine.beginStep(now) - now) / (double) NANOS_PER_MILLI;
+            engine.endStep();
         }
         return took;
     }
 
     @Test
-    public void aStepReadsAChunkAndMakesOneTokenForEachThatWasRead() {
-        Engine engine = new Engine(KIND, COLD, 0);
+    public void stepPrefillsOneChunkAndDecodesOneTokenPerPrefilledSequence() {
+        Engine engine = new Engine(PROFILE, SLOW_START, 0);
         assertTrue(engine.offer(0, sequence("a", 1, 1500, 2)));
-        assertEquals("1000 read", 10 + 100, steps(engine, 0, 1), 1e-6);
-        assertEquals("500 read", 10 + 50, steps(engine, 0, 1), 1e-6);
-        assertEquals("one token made", 10 + 1, steps(engine, 0, 1), 1e-6);
+        assertEquals("1000 read", 10 + 100, runSteps(engine, 0, 1), 1e-6);
+        assertEquals("500 read", 10 + 50, runSteps(engine, 0, 1), 1e-6);
+        assertEquals("one token made", 10 + 1, runSteps(engine, 0, 1), 1e-6);
         assertEquals(List.of("a"), tokens);
-        steps(engine, 0, 1);
+        runSteps(engine, 0, 1);
         assertEquals(List.of("a", "a!"), tokens);
-        assertEquals(-1, engine.begin(0));
+        assertEquals(-1, engine.beginStep(0));
     }
 
     @Test
-    public void whatWasReadIsKeptAndNotReadAgain() {
-        Engine engine = new Engine(KIND, COLD, 0);
+    public void cachedPromptTokensAreNotPrefilledAgain() {
+        Engine engine = new Engine(PROFILE, SLOW_START, 0);
         engine.offer(0, sequence("a", 1, 500, 1));
-        steps(engine, 0, 2);
+        runSteps(engine, 0, 2);
         Sequence next = sequence("b", 1, 800, 1);
         engine.offer(0, next);
-        assertEquals(10 + 29.9, steps(engine, 0, 1), 1e-6);
-        assertEquals(501, next.found());
+        assertEquals(10 + 29.9, runSteps(engine, 0, 1), 1e-6);
+        assertEquals(501, next.cachedPromptTokens());
     }
 
     @Test
-    public void beyondSlotsAndWaitingRoomItIsFull() {
-        Engine engine = new Engine(KIND, COLD, 0);
+    public void offerIsRejectedWhenBatchAndQueueAreFull() {
+        Engine engine = new Engine(PROFILE, SLOW_START, 0);
         for (int i = 0; i < 2; i++) {
             assertTrue(engine.offer(0, sequence("a" + i, i, 10, 5)));
         }
-        engine.begin(0);
+        engine.beginStep(0);
         assertTrue(engine.offer(0, sequence("waits", 5, 10, 5)));
         assertFalse(engine.offer(0, sequence("full", 6, 10, 5)));
-        assertEquals(1, engine.waiting());
+        assertEquals(1, engine.queueLength());
     }
 
     @Test
-    public void whoLeavesMakesRoom() {
-        Engine engine = new Engine(KIND, COLD, 0);
+    public void cancelledSequenceGeneratesNoTokens() {
+        Engine engine = new Engine(PROFILE, SLOW_START, 0);
         Sequence first = sequence("a", 1, 10, 5);
         engine.offer(0, first);
-        steps(engine, 0, 1);
+        runSteps(engine, 0, 1);
         engine.cancel(first);
-        assertEquals(-1, engine.begin(0));
+        assertEquals(-1, engine.beginStep(0));
         assertEquals(List.of(), tokens);
     }
 
     @Test
-    public void oneThatStartsIsSlowAtFirst() {
+    public void capacityRisesLinearlyDuringSlowStart() {
         double[][] cases = {{0, 0.5}, {5, 0.75}, {10, 1}, {20, 1}};
         for (double[] row : cases) {
-            Engine engine = new Engine(KIND, COLD, S);
-            assertEquals(row[1], engine.present((long) (row[0] * S) + S), 1e-9);
+            Engine engine = new Engine(PROFILE, SLOW_START, NANOS_PER_SECOND);
+            assertEquals(row[1], engine.currentCapacity((long) (row[0] * NANOS_PER_SECOND) + NANOS_PER_SECOND), 1e-9);
         }
-        Engine engine = new Engine(KIND, COLD, S);
-        engine.offer(S, sequence("a", 1, 1000, 1));
-        assertEquals((10 + 100) / 0.5, steps(engine, S, 1), 1e-6);
-        engine.slow(3);
-        assertEquals(11 * 3 / 0.5, steps(engine, S, 1), 1e-6);
+        Engine engine = new Engine(PROFILE, SLOW_START, NANOS_PER_SECOND);
+        engine.offer(NANOS_PER_SECOND, sequence("a", 1, 1000, 1));
+        assertEquals((10 + 100) / 0.5, runSteps(engine, NANOS_PER_SECOND, 1), 1e-6);
+        engine.setSlowdown(3);
+        assertEquals(11 * 3 / 0.5, runSteps(engine, NANOS_PER_SECOND, 1), 1e-6);
     }
 
     /** A prompt of 1000 and one token are 106 ms of work: within 3 s a cold box takes 4 x 0.5 x 3 s of it. */
     @Test
-    public void sentTooMuchWhileColdItFallsOverForGood() {
-        double work = KIND.work(1000, 1);
+    public void overloadDuringSlowStartCollapsesTheEngine() {
+        double work = PROFILE.workMillis(1000, 1);
         int most = (int) (4 * 0.5 * 3000 / work);
         for (int extra : new int[] {0, 1}) {
-            Engine engine = new Engine(KIND, COLD, S);
+            Engine engine = new Engine(PROFILE, SLOW_START, NANOS_PER_SECOND);
             for (int i = 0; i < most + extra; i++) {
-                engine.offer(S, sequence("a", i, 1000, 1));
+                engine.offer(NANOS_PER_SECOND, sequence("a", i, 1000, 1));
             }
-            assertEquals(extra == 1, engine.isDown());
+            assertEquals(extra == 1, engine.isCollapsed());
         }
-        Engine warm = new Engine(KIND, COLD, 0);
+        Engine warm = new Engine(PROFILE, SLOW_START, 0);
         for (int i = 0; i < 10 * most; i++) {
-            warm.offer(S, sequence("a", i, 1000, 1));
+            warm.offer(NANOS_PER_SECOND, sequence("a", i, 1000, 1));
         }
-        assertFalse("a warm one is full and lives", warm.isDown());
-        Engine spread = new Engine(KIND, COLD, S);
+        assertFalse("a warm one is full and lives", warm.isCollapsed());
+        Engine spread = new Engine(PROFILE, SLOW_START, NANOS_PER_SECOND);
         for (int i = 0; i < 2 * most; i++) {
-            spread.offer(S + i * 10 * S / most, sequence("a", i, 1000, 1));
+            spread.offer(NANOS_PER_SECOND + i * 10 * NANOS_PER_SECOND / most, sequence("a", i, 1000, 1));
         }
-        assertFalse(spread.isDown());
+        assertFalse(spread.isCollapsed());
     }
 
     @Test
-    public void theSameSeedDrawsTheSameBoxes() {
-        assertEquals(Kind.draw(true, new Well19937c(3)), Kind.draw(true, new Well19937c(3)));
+    public void profileDrawIsDeterministicPerSeedAndWithinItsRanges() {
+        assertEquals(EngineProfile.draw(true, new Well19937c(3)), EngineProfile.draw(true, new Well19937c(3)));
         for (int seed = 0; seed < 50; seed++) {
-            Kind kind = Kind.draw(seed % 2 == 0, new Well19937c(seed));
+            EngineProfile kind = EngineProfile.draw(seed % 2 == 0, new Well19937c(seed));
             assertTrue(
                     kind.toString(),
-                    kind.speed() >= 0.64 && kind.speed() <= 1.1 && kind.slots() >= 25 && kind.slots() <= 96);
+                    kind.speedFactor() >= 0.64
+                            && kind.speedFactor() <= 1.1
+                            && kind.maxRunning() >= 25
+                            && kind.maxRunning() <= 96);
         }
     }
 
     @Test
-    public void keptPromptsGiveWayToRunningRequests() {
-        Engine engine = new Engine(KIND, COLD, 0);
+    public void runningSequencesEvictCachedPrompts() {
+        Engine engine = new Engine(PROFILE, SLOW_START, 0);
         engine.offer(0, sequence("a", 1, 4000, 1));
-        steps(engine, 0, 5);
+        runSteps(engine, 0, 5);
         engine.offer(0, sequence("large", 2, 7000, 1));
-        steps(engine, 0, 8);
+        runSteps(engine, 0, 8);
         Sequence again = sequence("a", 1, 4500, 1);
         engine.offer(0, again);
-        steps(engine, 0, 1);
-        assertEquals(0, again.found());
+        runSteps(engine, 0, 1);
+        assertEquals(0, again.cachedPromptTokens());
     }
 }
--- a/lab/src/test/java/fawnlb/lab/scenario/StreamFaultsIT.java
+++ b/lab/src/test/java/fawnlb/lab/scenario/StreamFaultsIT.java
@@ -7,7 +7,7 @@
 /** A sample of the faults, drawn by a seed, on the node that was built. */
 public class StreamFaultsIT {
     @Test
-    public void aSampleOfTheFaultsEndsClearly() throws Exception {
-        assertTrue(new StreamFaults().play(1, true).print(System.out));
+    public void sampledFaultsEndInOneClearFinalResponse() throws Exception {
+        assertTrue(new StreamFaults().run(1, true).print(System.out));
     }
 }
--- a/node/src/main/java/fawnlb/admin/AdminClient.java
+++ b/node/src/main/java/fawnlb/admin/AdminClient.java
@@ -9,16 +9,17 @@
 
 /** Asks the admin listener of a running node. */
 public final class AdminClient {
-    private static final int TIMEOUT_MS = 5000;
+    private static final int TIMEOUT_MILLIS = 5000;
 
     private AdminClient() {}
 
     /** The table of backends, as a person reads it or as JSON. */
-    public static String backends(InetSocketAddress admin, boolean json) throws IOException {
-        URL url = new URL("http", admin.getHostString(), admin.getPort(), json ? "/targets.json" : "/targets");
+    public static String fetchTargets(InetSocketAddress adminAddress, boolean asJson) throws IOException {
+        URL url = new URL(
+                "http", adminAddress.getHostString(), adminAddress.getPort(), asJson ? "/targets.json" : "/targets");
         HttpURLConnection connection = (HttpURLConnection) url.openConnection();
-        connection.setConnectTimeout(TIMEOUT_MS);
-        connection.setReadTimeout(TIMEOUT_MS);
+        connection.setConnectTimeout(TIMEOUT_MILLIS);
+        connection.setReadTimeout(TIMEOUT_MILLIS);
         try (InputStream in = connection.getInputStream()) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } finally {
