--- a/node/src/main/java/fawnlb/backend/Backend.java
+++ b/node/src/main/java/fawnlb/backend/Backend.java
@@ -1,23 +1,23 @@
 package fawnlb.backend;
 
-import fawnlb.actor.Mailbox;
-import fawnlb.actor.Timers;
-import fawnlb.decision.Balancer.Outcome;
-import fawnlb.dialect.Dialect;
-import fawnlb.dialect.FirstEvent;
-import fawnlb.dialect.Translation;
-import fawnlb.flow.Backends;
-import fawnlb.flow.Source;
-import fawnlb.http.Connection;
-import fawnlb.http.Response;
+import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.eventloop.Mailbox;
+import fawnlb.eventloop.Timers;
+import fawnlb.http.HttpClientConnection;
+import fawnlb.http.ResponseHead;
 import fawnlb.metrics.Invariant;
 import fawnlb.metrics.Metrics;
 import fawnlb.metrics.Metrics.Metric;
-import fawnlb.stream.End;
-import fawnlb.stream.Ending;
-import fawnlb.stream.State;
-import fawnlb.stream.Stream;
-import fawnlb.stream.Streams;
+import fawnlb.proxy.Backends;
+import fawnlb.proxy.ResponseSource;
+import fawnlb.stream.AttemptEnd;
+import fawnlb.stream.EndReason;
+import fawnlb.stream.ResponseStream;
+import fawnlb.stream.StreamRegistry;
+import fawnlb.stream.StreamState;
+import fawnlb.translation.Dialect;
+import fawnlb.translation.FirstEventBuffer;
+import fawnlb.translation.ResponseTranslator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -37,17 +37,17 @@
      */
     private static final int MAX_DISCARDED_BYTES = 64 * 1024;
 
-    private static final long DISCARD = 250_000_000;
+    private static final long DISCARD_TIMEOUT_NANOS = 250_000_000;
 
     /** An answer that is not streamed is kept until it is whole, and may be so long. */
-    private static final int MAX_WHOLE_BYTES = 1 << 20;
+    private static final int MAX_BUFFERED_RESPONSE_BYTES = 1 << 20;
 
     /**
      * A connect that fails for want of something on this machine is tried again so often, after so many nanoseconds.
      */
-    private static final int MAX_LOCAL_FAILURES = 4;
+    private static final int MAX_LOCAL_CONNECT_FAILURES = 4;
 
-    private static final long LOCAL_FAILURE_PAUSE = 50_000_000;
+    private static final long LOCAL_FAILURE_RETRY_DELAY_NANOS = 50_000_000;
 
     /** What stands against sending a request that has been decided on. */
     private enum SendObstacle {
@@ -60,36 +60,36 @@
     }
 
     /** What a backend finds wrong with the request itself: it would with every backend, and the client can mend it. */
-    private static final Set<Integer> CLIENT_FAULTS = Set.of(400, 404, 413, 422);
+    private static final Set<Integer> CLIENT_ERROR_STATUSES = Set.of(400, 404, 413, 422);
 
     private final long id;
     private final InetSocketAddress address;
-    private final long since;
+    private final long startedAtNanos;
     private final Dialect dialect;
     private final XnioIoThread thread;
     private final Timers timers;
     private final Mailbox mailbox;
     private final BackendPool.Limits limits;
     private final BackendPool pool;
-    private final Streams streams;
-    private final IdleConnections idle;
-    private boolean left;
+    private final StreamRegistry streams;
+    private final IdleConnections idleConnections;
+    private boolean removed;
     private boolean draining;
 
     Backend(
             long id,
             InetSocketAddress address,
-            long since,
+            long startedAtNanos,
             Dialect dialect,
             XnioIoThread thread,
             Timers timers,
             Mailbox mailbox,
             BackendPool.Limits limits,
             BackendPool pool,
-            Streams streams) {
+            StreamRegistry streams) {
         this.id = id;
         this.address = address;
-        this.since = since;
+        this.startedAtNanos = startedAtNanos;
         this.dialect = dialect;
         this.thread = thread;
         this.timers = timers;
@@ -97,11 +97,12 @@
         this.limits = limits;
         this.pool = pool;
         this.streams = streams;
-        this.idle = new IdleConnections(limits.rest(), limits.idle(), timers, pool::socketClosed);
+        this.idleConnections = new IdleConnections(
+                limits.minRestNanos(), limits.backendIdleTimeoutNanos(), timers, pool::onSocketClosed);
     }
 
-    boolean is(InetSocketAddress other, long started, Dialect speaks) {
-        return address.equals(other) && since == started && dialect == speaks;
+    boolean matches(InetSocketAddress otherAddress, long otherStartedAtNanos, Dialect otherDialect) {
+        return address.equals(otherAddress) && startedAtNanos == otherStartedAtNanos && dialect == otherDialect;
     }
 
     Dialect dialect() {
@@ -113,335 +114,344 @@
      * mailbox before this; what is kept of the backend goes when that has ended too, and would stay if it went before
      * it began.
      */
-    void leave() {
+    void remove() {
         mailbox.tellAlways(() -> {
-            left = true;
-            streams.gone(id);
-            idle.closeAll();
+            removed = true;
+            streams.onBackendRemoved(id);
+            idleConnections.closeAll();
         });
     }
 
     /** Whether it is to finish what it has and get nothing new, not even what still waits for its connection. */
-    void drains(boolean now) {
-        mailbox.tellAlways(() -> draining = now);
+    void setDraining(boolean isDraining) {
+        mailbox.tellAlways(() -> draining = isDraining);
     }
 
-    /** Prompt tokens and again: as {@link Streams#open} has them; the rest as {@link Backends#attempt}. */
-    Backends.Attempt attempt(
-            Parcel parcel, double promptTokens, long until, long sendBy, boolean again, Backends.Report report) {
-        Running running = new Running(parcel, until, sendBy, report);
-        boolean told = mailbox.tell(
+    /** Prompt tokens and again: as {@link StreamRegistry#open} has them; the rest as {@link Backends#startAttempt}. */
+    Backends.Attempt startAttempt(
+            OutboundRequest request,
+            double promptTokens,
+            long responseDeadlineNanos,
+            long sendDeadlineNanos,
+            boolean canRetry,
+            Backends.AttemptListener report) {
+        AttemptExchange exchange = new AttemptExchange(request, responseDeadlineNanos, sendDeadlineNanos, report);
+        boolean accepted = mailbox.tell(
                 () -> {
-                    running.open(promptTokens, again);
-                    running.begin();
+                    exchange.openStream(promptTokens, canRetry);
+                    exchange.start();
                 },
-                running::fail);
-        if (!told) {
-            report.ended(Ending.of(End.NOT_SENT), 0, List.of());
+                exchange::onInternalError);
+        if (!accepted) {
+            report.onAttemptEnded(AttemptEnd.of(EndReason.NOT_SENT), 0, List.of());
         }
-        return end -> mailbox.tellOrFail(() -> running.leave(end), running::fail);
+        return reason -> mailbox.tellOrFail(() -> exchange.cancel(reason), exchange::onInternalError);
     }
 
-    void probe(Backends.ProbeReport report) {
-        Probe probe = new Probe(report);
-        if (!mailbox.tell(probe::begin)) {
-            report.probed(Outcome.NEVER_SENT, List.of());
+    void checkHealth(Backends.HealthCheckListener report) {
+        HealthCheckExchange exchange = new HealthCheckExchange(report);
+        if (!mailbox.tell(exchange::start)) {
+            report.onHealthChecked(AttemptOutcome.NEVER_SENT, List.of());
         }
     }
 
-    String host() {
+    String hostAndPort() {
         return address.getHostString() + ':' + address.getPort();
     }
 
-    private void close(Connection connection) {
+    private void closeConnection(HttpClientConnection connection) {
         connection.close();
-        pool.socketClosed();
+        pool.onSocketClosed();
     }
 
-    private void keep(Connection connection) {
-        if (left) {
-            close(connection);
+    private void returnToIdle(HttpClientConnection connection) {
+        if (removed) {
+            closeConnection(connection);
             return;
         }
-        idle.add(connection);
-        timers.after(idle.limit(), () -> mailbox.tellAlways(idle::retire));
+        idleConnections.add(connection);
+        timers.schedule(idleConnections.retireAfterNanos(), () -> mailbox.tellAlways(idleConnections::closeExpired));
     }
 
-    IdleConnections idle() {
-        return idle;
+    IdleConnections idleConnections() {
+        return idleConnections;
     }
 
     /** One exchange with the backend, from finding a connection to its end. */
-    private abstract class Exchange implements Connection.Call, Connection.Opened {
-        Connection connection;
-        boolean done;
-        private int localFailures;
-
-        void begin() {
-            if (done) {
+    private abstract class BackendExchange
+            implements HttpClientConnection.ResponseHandler, HttpClientConnection.ConnectHandler {
+        HttpClientConnection connection;
+        boolean finished;
+        private int localConnectFailures;
+
+        void start() {
+            if (finished) {
                 return;
             }
-            if (isPrevented()) {
-                finish(End.NOT_SENT);
+            if (isSendPrevented()) {
+                finish(EndReason.NOT_SENT);
                 return;
             }
-            connection = idle.take();
+            connection = idleConnections.take();
             if (connection != null) {
-                send();
-            } else if (pool.socketFree()) {
-                pool.socketOpened();
-                Connection.open(thread, timers, address, limits.connect(), this);
+                sendRequest();
+            } else if (pool.makeRoomForSocket()) {
+                pool.onSocketOpened();
+                HttpClientConnection.connect(thread, timers, address, limits.connectTimeoutNanos(), this);
             } else {
                 // Our own shortage is no fault of the backend's.
-                finish(End.NOT_SENT);
+                finish(EndReason.NOT_SENT);
             }
         }
 
         @Override
-        public void failedLocally(IOException cause) {
-            pool.socketClosed();
-            Metrics.count(Metric.LOCAL_CONNECT_FAILURES, "connect");
-            if (++localFailures > MAX_LOCAL_FAILURES) {
+        public void onLocalFailure(IOException cause) {
+            pool.onSocketClosed();
+            Metrics.increment(Metric.LOCAL_CONNECT_FAILURES, "connect");
+            if (++localConnectFailures > MAX_LOCAL_CONNECT_FAILURES) {
                 LOG.warning("no connection could be made to " + address + " for a reason of this machine: "
                         + cause.getMessage());
-                finish(End.NOT_SENT);
+                finish(EndReason.NOT_SENT);
             } else {
-                timers.after(LOCAL_FAILURE_PAUSE, () -> mailbox.tellAlways(this::begin));
+                timers.schedule(LOCAL_FAILURE_RETRY_DELAY_NANOS, () -> mailbox.tellAlways(this::start));
             }
         }
 
         @Override
-        public void opened(Connection opened) {
+        public void onConnected(HttpClientConnection opened) {
             if (opened == null) {
-                pool.socketClosed();
-                finish(End.NOT_CONNECTED);
-            } else if (done || isPrevented()) {
-                keep(opened);
-                finish(End.NOT_SENT);
+                pool.onSocketClosed();
+                finish(EndReason.CONNECT_FAILED);
+            } else if (finished || isSendPrevented()) {
+                returnToIdle(opened);
+                finish(EndReason.NOT_SENT);
             } else {
                 connection = opened;
-                send();
+                sendRequest();
             }
         }
 
-        private void send() {
-            connection.send(this, request());
-            sent();
+        private void sendRequest() {
+            connection.send(this, encodeRequest());
+            onRequestSent();
         }
 
         /** Its request has been handed to the connection. */
-        void sent() {}
+        void onRequestSent() {}
 
         /** Made when it is written: what it tells of the time that is left must hold then. */
-        abstract ByteBuffer[] request();
+        abstract ByteBuffer[] encodeRequest();
 
         @Override
-        public void end(boolean reusable) {
-            Connection used = connection;
+        public void onComplete(boolean reusable) {
+            HttpClientConnection used = connection;
             connection = null;
             if (reusable) {
-                keep(used);
+                returnToIdle(used);
             } else {
-                close(used);
+                closeConnection(used);
             }
-            whole();
+            onResponseComplete();
         }
 
         @Override
-        public void broken(Connection.Break how) {
+        public void onFailure(HttpClientConnection.CallFailure how) {
             if (connection != null) {
-                close(connection);
+                closeConnection(connection);
                 connection = null;
             }
             finish(
                     switch (how) {
-                        case NOT_WRITTEN -> End.NOT_CONNECTED;
-                        case CLOSED -> End.BROKEN;
-                        case UNREADABLE -> End.UNREADABLE;
-                        case UNFINISHED_HEAD -> End.STALLED;
+                        case REQUEST_NOT_WRITTEN -> EndReason.CONNECT_FAILED;
+                        case CONNECTION_CLOSED -> EndReason.CONNECTION_LOST;
+                        case MALFORMED_RESPONSE -> EndReason.MALFORMED;
+                        case HEAD_TIMEOUT -> EndReason.STALLED;
                     });
         }
 
         /** Ends it from our side; closing the connection is what calls the backend's work off. */
-        void stop(End end) {
-            if (!done && connection != null) {
-                close(connection);
+        void abort(EndReason reason) {
+            if (!finished && connection != null) {
+                closeConnection(connection);
                 connection = null;
             }
-            finish(end);
+            finish(reason);
         }
 
-        void finish(End end) {
-            if (!done) {
-                done = true;
-                ended(end);
+        void finish(EndReason reason) {
+            if (!finished) {
+                finished = true;
+                onFinished(reason);
             }
         }
 
         /** What stands against sending it, asked before its connection is looked for, and when it has come up. */
-        SendObstacle obstacle() {
+        SendObstacle findSendObstacle() {
             return SendObstacle.NONE;
         }
 
-        private boolean isPrevented() {
-            SendObstacle obstacle = obstacle();
+        private boolean isSendPrevented() {
+            SendObstacle obstacle = findSendObstacle();
             if (obstacle != SendObstacle.NONE) {
-                Metrics.count(Metric.SENDS_PREVENTED, obstacle);
+                Metrics.increment(Metric.SENDS_PREVENTED, obstacle);
             }
             return obstacle != SendObstacle.NONE;
         }
 
-        abstract void whole();
+        abstract void onResponseComplete();
 
-        abstract void ended(End end);
+        abstract void onFinished(EndReason reason);
     }
 
-    private final class Running extends Exchange implements Source, Streams.Owner {
-        private final Backends.Report report;
-        private final Parcel parcel;
-        private final long until;
-        private final long sendBy;
-        private Translation translation;
-        private Translation witness;
-        private final Tail tail = new Tail();
-        private final FirstEvent opening = new FirstEvent();
-        private final ByteArrayOutputStream held = new ByteArrayOutputStream(0);
-        private Response head;
-        private boolean streaming;
-        private boolean objects;
-        private boolean shown;
-        private boolean complete;
-        private long discarded;
+    private final class AttemptExchange extends BackendExchange implements ResponseSource, StreamRegistry.Owner {
+        private final Backends.AttemptListener report;
+        private final OutboundRequest request;
+        private final long responseDeadlineNanos;
+        private final long sendDeadlineNanos;
+        private ResponseTranslator translation;
+        private ResponseTranslator passThroughParser;
+        private final ResponseTail tail = new ResponseTail();
+        private final FirstEventBuffer firstEventBuffer = new FirstEventBuffer();
+        private final ByteArrayOutputStream bufferedResponse = new ByteArrayOutputStream(0);
+        private ResponseHead responseHead;
+        private boolean relayed;
+        private boolean requestRejected;
+        private boolean reported;
+        private boolean responseComplete;
+        private long discardedBytes;
         private Sink sink;
-        private ByteBuffer first;
-        private Stream stream;
-        private Timers.Timer timer;
-        private State timedFor;
-        private Timers.Timer discard;
-
-        Running(Parcel parcel, long until, long sendBy, Backends.Report report) {
-            this.parcel = parcel;
-            this.until = until;
-            this.sendBy = sendBy;
+        private ByteBuffer pendingChunk;
+        private ResponseStream stream;
+        private Timers.Timer wakeTimer;
+        private StreamState wakeTimerState;
+        private Timers.Timer discardTimer;
+
+        AttemptExchange(OutboundRequest parcel, long until, long sendBy, Backends.AttemptListener report) {
+            this.request = parcel;
+            this.responseDeadlineNanos = until;
+            this.sendDeadlineNanos = sendBy;
             this.report = report;
         }
 
-        void open(double promptTokens, boolean again) {
-            stream = streams.open(timers.now(), id, promptTokens, until, again, parcel.stream(), this);
-            arm();
+        void openStream(double promptTokens, boolean canRetry) {
+            stream = streams.open(
+                    timers.now(), id, promptTokens, responseDeadlineNanos, canRetry, request.isStreamed(), this);
+            scheduleWake();
         }
 
         @Override
-        ByteBuffer[] request() {
-            return parcel.request(dialect, host(), Math.max(0, until - timers.now()));
+        ByteBuffer[] encodeRequest() {
+            return request.encode(dialect, hostAndPort(), Math.max(0, responseDeadlineNanos - timers.now()));
         }
 
         private void tell(Runnable message) {
-            mailbox.tellOrFail(message, this::fail);
+            mailbox.tellOrFail(message, this::onInternalError);
         }
 
         /** Something threw that nobody expected: the client is told, and the backend's work called off. */
-        void fail() {
-            stop(End.BROKEN);
+        void onInternalError() {
+            abort(EndReason.CONNECTION_LOST);
             if (sink != null) {
-                complete = false;
-                sink.broken(stream.ending());
+                responseComplete = false;
+                sink.onBroken(stream.attemptEnd());
             }
         }
 
         @Override
-        public void parked() {
-            report.parked();
+        public void onClientStalled() {
+            report.onClientStalled();
         }
 
         /** The silence of the backend or of the reader has lasted too long, or there is no room for the stream. */
         @Override
-        public void end(End end) {
-            boolean over = done;
-            stop(end);
-            if (over && sink != null) {
+        public void endStream(EndReason reason) {
+            boolean backendSideOver = finished;
+            abort(reason);
+            if (backendSideOver && sink != null) {
                 // The backend's side is over; the client has yet to hear that its own is.
-                complete = false;
-                sink.broken(stream.ending());
+                responseComplete = false;
+                sink.onBroken(stream.attemptEnd());
             }
         }
 
         /** Nobody wants the answer any more, or can wait for it: one that is on its way is taken rather than cut. */
-        void leave(End end) {
-            if (!done && end == End.OUT_OF_TIME && opening.buffered() > 0) {
+        void cancel(EndReason reason) {
+            if (!finished && reason == EndReason.TIMED_OUT && firstEventBuffer.bufferedBytes() > 0) {
                 // The next piece was asked for already, and must not come before this one is taken.
-                connection.pause();
-                deliver(opening.release());
+                connection.pauseReading();
+                deliver(firstEventBuffer.release());
                 return;
             }
-            stop(end);
-            close();
+            abort(reason);
+            closeStream();
         }
 
-        private void close() {
-            first = null;
+        private void closeStream() {
+            pendingChunk = null;
             stream.close();
-            unarm();
+            cancelWake();
         }
 
         @Override
-        public void closed() {
-            tell(this::close);
+        public void onSinkClosed() {
+            tell(this::closeStream);
         }
 
         @Override
-        public void lags(int left) {
+        public void onUnsentBytes(int remainingBytes) {
             tell(() -> {
-                stream.lags(timers.now(), left);
-                arm();
+                stream.onClientBackpressure(timers.now(), remainingBytes);
+                scheduleWake();
             });
         }
 
         /** One timer for a stream: it comes when it was first needed, and finds out when to come again. */
-        private void arm() {
-            if (timer != null && timedFor == stream.state()) {
+        private void scheduleWake() {
+            if (wakeTimer != null && wakeTimerState == stream.state()) {
                 return;
             }
-            unarm();
-            long at = stream.wakeAt();
-            if (at != Stream.NEVER) {
-                timedFor = stream.state();
-                timer = timers.after(
-                        at - timers.now(),
+            cancelWake();
+            long wakeAtNanos = stream.wakeAtNanos();
+            if (wakeAtNanos != ResponseStream.NEVER) {
+                wakeTimerState = stream.state();
+                wakeTimer = timers.schedule(
+                        wakeAtNanos - timers.now(),
                         () -> tell(() -> {
-                            timer = null;
+                            wakeTimer = null;
                             stream.wake(timers.now());
-                            arm();
+                            scheduleWake();
                         }));
             }
         }
 
-        private void unarm() {
-            if (timer != null) {
-                timer.cancel();
-                timer = null;
+        private void cancelWake() {
+            if (wakeTimer != null) {
+                wakeTimer.cancel();
+                wakeTimer = null;
             }
         }
 
         @Override
-        public void head(Response response) {
-            head = response;
-            objects = CLIENT_FAULTS.contains(response.status());
-            streaming = response.status() == 200 || objects;
-            stream.head(timers.now(), streaming);
-            if (streaming) {
-                translation = dialect == parcel.dialect()
+        public void onHead(ResponseHead response) {
+            responseHead = response;
+            requestRejected = CLIENT_ERROR_STATUSES.contains(response.status());
+            relayed = response.status() == 200 || requestRejected;
+            stream.onHead(timers.now(), relayed);
+            if (relayed) {
+                translation = dialect == request.dialect()
                         ? null
-                        : objects
-                                ? Translation.ofError(parcel.dialect(), response.status())
-                                : new Translation(dialect, parcel.dialect(), parcel.stream());
-                witness = translation != null || objects || !parcel.tally().counts()
+                        : requestRejected
+                                ? ResponseTranslator.forError(request.dialect(), response.status())
+                                : new ResponseTranslator(dialect, request.dialect(), request.isStreamed());
+                passThroughParser = translation != null
+                                || requestRejected
+                                || !request.responseSummary().collectsUsage()
                         ? null
-                        : new Translation(dialect, dialect, parcel.stream());
-                arm();
+                        : new ResponseTranslator(dialect, dialect, request.isStreamed());
+                scheduleWake();
             } else {
-                unarm();
-                discard = timers.after(DISCARD, () -> tell(() -> stop(failure())));
+                cancelWake();
+                discardTimer = timers.schedule(DISCARD_TIMEOUT_NANOS, () -> tell(() -> abort(failureReason())));
             }
         }
 
@@ -449,267 +459,278 @@
          * Told with the first whole event for the client, not with the head or a part of it: a stream that is spoilt or
          * broken before that has shown the client nothing, and its flow may still go elsewhere.
          */
-        private void show() {
-            if (!shown) {
-                shown = true;
-                if (objects) {
-                    parcel.tally().answers(head.status());
-                    report.rejected(this);
+        private void reportResponse() {
+            if (!reported) {
+                reported = true;
+                if (requestRejected) {
+                    request.responseSummary().setStatus(responseHead.status());
+                    report.onClientErrorResponse(this);
                 } else {
-                    report.started(this);
+                    report.onResponseStarted(this);
                 }
             }
         }
 
         /** The outcome of an answer that is none of the client's business. */
-        private End failure() {
+        private EndReason failureReason() {
             // By the messages interface's word, 429 and 529 are answers to requests that were not taken.
-            boolean notRun = head.header("x-not-run").equals("1")
-                    || dialect == Dialect.MESSAGES && (head.status() == 429 || head.status() == 529);
-            return notRun ? End.TURNED_AWAY : streaming ? End.CUT_SHORT : End.FAILED;
+            boolean notAccepted = responseHead.header("x-not-run").equals("1")
+                    || dialect == Dialect.MESSAGES && (responseHead.status() == 429 || responseHead.status() == 529);
+            return notAccepted ? EndReason.NOT_ACCEPTED : relayed ? EndReason.TRUNCATED : EndReason.BACKEND_ERROR;
         }
 
         @Override
-        public void body(ByteBuffer bytes) {
-            if (!streaming) {
-                discarded += bytes.remaining();
-                if (discarded > MAX_DISCARDED_BYTES) {
-                    stop(failure());
+        public void onBody(ByteBuffer bytes) {
+            if (!relayed) {
+                discardedBytes += bytes.remaining();
+                if (discardedBytes > MAX_DISCARDED_BYTES) {
+                    abort(failureReason());
                 } else {
-                    connection.more();
+                    connection.resumeReading();
                 }
                 return;
             }
             try {
                 tail.add(bytes);
-                observe(bytes.duplicate());
+                inspect(bytes.duplicate());
                 deliver(
                         translation != null
                                 ? translation.feed(bytes)
-                                : parcel.stream() && !objects ? opening.feed(bytes) : hold(bytes));
+                                : request.isStreamed() && !requestRejected
+                                        ? firstEventBuffer.feed(bytes)
+                                        : bufferResponse(bytes));
             } catch (IOException e) {
-                stop(End.UNREADABLE);
+                abort(EndReason.MALFORMED);
             }
         }
 
         /** A whole answer is shown when it is whole: half of one under status 200 would pass for all of it. */
-        private ByteBuffer hold(ByteBuffer bytes) throws IOException {
-            if (held.size() + bytes.remaining() > MAX_WHOLE_BYTES) {
-                throw new IOException("answer longer than " + MAX_WHOLE_BYTES + " bytes");
+        private ByteBuffer bufferResponse(ByteBuffer bytes) throws IOException {
+            if (bufferedResponse.size() + bytes.remaining() > MAX_BUFFERED_RESPONSE_BYTES) {
+                throw new IOException("answer longer than " + MAX_BUFFERED_RESPONSE_BYTES + " bytes");
             }
-            byte[] piece = new byte[bytes.remaining()];
-            bytes.get(piece);
-            held.writeBytes(piece);
+            byte[] copy = new byte[bytes.remaining()];
+            bytes.get(copy);
+            bufferedResponse.writeBytes(copy);
             return bytes;
         }
 
         private void deliver(ByteBuffer bytes) {
             if (!bytes.hasRemaining()) {
-                stream.sign(timers.now());
-                stream.keeps(translation != null ? translation.buffered() : held.size() + opening.buffered());
+                stream.onPartialData(timers.now());
+                stream.setBufferedBytes(
+                        translation != null
+                                ? translation.bufferedBytes()
+                                : bufferedResponse.size() + firstEventBuffer.bufferedBytes());
                 if (connection != null) {
-                    arm();
-                    connection.more();
+                    scheduleWake();
+                    connection.resumeReading();
                 }
                 return;
             }
-            stream.piece(timers.now(), bytes.remaining());
-            show();
+            stream.onChunk(timers.now(), bytes.remaining());
+            reportResponse();
             if (sink == null) {
-                first = bytes;
+                pendingChunk = bytes;
             } else {
-                sink.chunk(bytes);
+                sink.onChunk(bytes);
             }
         }
 
         /** Reads along where nothing is translated; what it can't read, no client could. */
-        private void observe(ByteBuffer bytes) throws IOException {
-            if (witness != null) {
-                witness.feed(bytes);
+        private void inspect(ByteBuffer bytes) throws IOException {
+            if (passThroughParser != null) {
+                passThroughParser.feed(bytes);
             }
         }
 
         @Override
-        public void into(Sink to) {
+        public void streamTo(Sink to) {
             tell(() -> {
                 sink = to;
-                if (first != null) {
-                    sink.chunk(first);
-                    first = null;
+                if (pendingChunk != null) {
+                    sink.onChunk(pendingChunk);
+                    pendingChunk = null;
                 }
-                if (done) {
-                    tellEnd();
+                if (finished) {
+                    notifySinkOfEnd();
                 }
             });
         }
 
         @Override
-        public void more() {
+        public void requestNextChunk() {
             tell(() -> {
-                stream.took(timers.now());
+                stream.onClientCaughtUp(timers.now());
                 if (connection != null) {
-                    arm();
-                    connection.more();
+                    scheduleWake();
+                    connection.resumeReading();
                 }
             });
         }
 
         @Override
-        SendObstacle obstacle() {
-            if (left) {
+        SendObstacle findSendObstacle() {
+            if (removed) {
                 return SendObstacle.BACKEND_LEFT;
             }
             if (draining) {
                 return SendObstacle.BACKEND_DRAINS;
             }
-            if (timers.now() >= until) {
+            if (timers.now() >= responseDeadlineNanos) {
                 return SendObstacle.OUT_OF_TIME;
             }
-            if (timers.now() >= sendBy) {
+            if (timers.now() >= sendDeadlineNanos) {
                 return SendObstacle.REPEAT_WINDOW_OVER;
             }
-            return report.wanted() ? SendObstacle.NONE : SendObstacle.NOT_WANTED;
+            return report.isStillWanted() ? SendObstacle.NONE : SendObstacle.NOT_WANTED;
         }
 
         @Override
-        void sent() {
-            Invariant.NOT_SENT_TO_LEAVING_BACKEND.holds(
-                    !left && !draining, this::name, left ? "it had left" : "it drains");
-            Invariant.DEADLINE_TOLD_IN_TIME.holds(
-                    timers.now() - Math.min(until, sendBy) < Backends.MAX_HELD_UP,
-                    this::name,
+        void onRequestSent() {
+            Invariant.NOT_SENT_TO_LEAVING_BACKEND.check(
+                    !removed && !draining, this::describe, removed ? "it had left" : "it drains");
+            Invariant.DEADLINE_TOLD_IN_TIME.check(
+                    timers.now() - Math.min(responseDeadlineNanos, sendDeadlineNanos)
+                            < Backends.MAX_PROCESS_STALL_NANOS,
+                    this::describe,
                     "written after its time");
         }
 
-        private String name() {
-            return "request " + parcel.id() + " at " + address;
+        private String describe() {
+            return "request " + request.requestId() + " at " + address;
         }
 
         @Override
-        void whole() {
+        void onResponseComplete() {
             try {
-                complete = streaming;
+                responseComplete = relayed;
                 if (translation != null) {
-                    complete = false;
-                    rest(translation.finish());
-                    complete = true;
-                } else if (held.size() > 0) {
-                    if (witness != null) {
-                        witness.finish();
+                    responseComplete = false;
+                    deliverRemainder(translation.finish());
+                    responseComplete = true;
+                } else if (bufferedResponse.size() > 0) {
+                    if (passThroughParser != null) {
+                        passThroughParser.finish();
                     }
-                    rest(ByteBuffer.wrap(held.toByteArray()));
-                } else if (streaming && shown && !objects && !tail.finished(dialect)) {
-                    complete = false;
+                    deliverRemainder(ByteBuffer.wrap(bufferedResponse.toByteArray()));
+                } else if (relayed && reported && !requestRejected && !tail.hasLastEvent(dialect)) {
+                    responseComplete = false;
                 }
             } catch (IOException e) {
-                complete = false;
+                responseComplete = false;
             }
-            if (streaming && shown && !complete) {
+            if (relayed && reported && !responseComplete) {
                 // The framing ended, the answer did not: it must not look finished.
-                finish(End.CUT_SHORT);
+                finish(EndReason.TRUNCATED);
                 return;
             }
-            if (objects) {
-                show();
+            if (requestRejected) {
+                reportResponse();
             }
             // A stream without a single event answers nothing, whole as it may be.
-            finish(!shown ? failure() : objects ? End.REJECTED : End.WHOLE);
+            finish(!reported ? failureReason() : requestRejected ? EndReason.REJECTED : EndReason.COMPLETED);
         }
 
         /** The last bytes of a translated answer; a sink that is not there yet gets them with its start. */
-        private void rest(ByteBuffer bytes) {
+        private void deliverRemainder(ByteBuffer bytes) {
             if (bytes.hasRemaining()) {
-                stream.keeps(0);
-                stream.piece(timers.now(), bytes.remaining());
-                show();
+                stream.setBufferedBytes(0);
+                stream.onChunk(timers.now(), bytes.remaining());
+                reportResponse();
             }
             if (bytes.hasRemaining() && sink != null) {
-                sink.chunk(bytes);
+                sink.onChunk(bytes);
             } else if (bytes.hasRemaining()) {
-                first = bytes;
+                pendingChunk = bytes;
             }
         }
 
         @Override
-        void ended(End end) {
-            if (discard != null) {
-                discard.cancel();
+        void onFinished(EndReason reason) {
+            if (discardTimer != null) {
+                discardTimer.cancel();
             }
-            if (end == End.WHOLE || end == End.REJECTED) {
-                stream.last(end);
+            if (reason == EndReason.COMPLETED || reason == EndReason.REJECTED) {
+                stream.onResponseComplete(reason);
             } else {
-                stream.over(end);
-            }
-            unarm();
-            arm();
-            Translation read = translation != null ? translation : witness;
-            if (streaming) {
-                parcel.tally()
-                        .note(
+                stream.onBackendEnded(reason);
+            }
+            cancelWake();
+            scheduleWake();
+            ResponseTranslator parser = translation != null ? translation : passThroughParser;
+            if (relayed) {
+                request.responseSummary()
+                        .recordUsage(
                                 dialect,
-                                read == null ? 0 : read.skipped(),
-                                read == null ? 0 : read.tokens(),
-                                parcel.tally().counts() && tail.finished(dialect));
-            }
-            String load = head == null ? "" : tail.load().isEmpty() ? head.header("x-load") : tail.load();
-            Ending ending = stream.ending();
-            Metrics.count(Metric.ATTEMPTS, ending.word());
-            LOG.fine(() -> parcel.id() + " at " + address + ": " + ending.word());
-            report.ended(ending, tail.kept(), LoadReport.parse(load, limits.reportFields()));
+                                parser == null ? 0 : parser.unrecognizedEvents(),
+                                parser == null ? 0 : parser.totalTokens(),
+                                request.responseSummary().collectsUsage() && tail.hasLastEvent(dialect));
+            }
+            String loadReport = responseHead == null
+                    ? ""
+                    : tail.loadReport().isEmpty() ? responseHead.header("x-load") : tail.loadReport();
+            AttemptEnd attemptEnd = stream.attemptEnd();
+            Metrics.increment(Metric.ATTEMPTS, attemptEnd.label());
+            LOG.fine(() -> request.requestId() + " at " + address + ": " + attemptEnd.label());
+            report.onAttemptEnded(
+                    attemptEnd, tail.cachedTokens(), LoadReport.parse(loadReport, limits.loadReportFields()));
             if (sink != null) {
-                tellEnd();
+                notifySinkOfEnd();
             }
         }
 
-        private void tellEnd() {
-            if (complete) {
-                sink.end();
+        private void notifySinkOfEnd() {
+            if (responseComplete) {
+                sink.onComplete();
             } else {
-                sink.broken(stream.ending());
+                sink.onBroken(stream.attemptEnd());
             }
         }
     }
 
-    private final class Probe extends Exchange {
-        private final Backends.ProbeReport report;
-        private List<Double> load = List.of();
-        private Response head;
+    private final class HealthCheckExchange extends BackendExchange {
+        private final Backends.HealthCheckListener report;
+        private List<Double> loadReport = List.of();
+        private ResponseHead responseHead;
 
-        Probe(Backends.ProbeReport report) {
+        HealthCheckExchange(Backends.HealthCheckListener report) {
             this.report = report;
-            timers.after(limits.probe(), () -> mailbox.tellAlways(() -> stop(End.OUT_OF_TIME)));
+            timers.schedule(
+                    limits.healthCheckTimeoutNanos(), () -> mailbox.tellAlways(() -> abort(EndReason.TIMED_OUT)));
         }
 
         @Override
-        ByteBuffer[] request() {
+        ByteBuffer[] encodeRequest() {
             return new ByteBuffer[] {
-                ByteBuffer.wrap(
-                        ("GET /stats HTTP/1.1\r\nHost: " + host() + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1))
+                ByteBuffer.wrap(("GET /stats HTTP/1.1\r\nHost: " + hostAndPort() + "\r\n\r\n")
+                        .getBytes(StandardCharsets.ISO_8859_1))
             };
         }
 
         @Override
-        public void head(Response response) {
-            head = response;
-            load = LoadReport.parse(response.header("x-load"), limits.reportFields());
+        public void onHead(ResponseHead response) {
+            responseHead = response;
+            loadReport = LoadReport.parse(response.header("x-load"), limits.loadReportFields());
         }
 
         @Override
-        public void body(ByteBuffer bytes) {
-            if (load.isEmpty()) {
-                load = LoadReport.parse(StandardCharsets.UTF_8.decode(bytes).toString(), limits.reportFields());
+        public void onBody(ByteBuffer bytes) {
+            if (loadReport.isEmpty()) {
+                loadReport =
+                        LoadReport.parse(StandardCharsets.UTF_8.decode(bytes).toString(), limits.loadReportFields());
             }
-            connection.more();
+            connection.resumeReading();
         }
 
         @Override
-        void whole() {
-            finish(head.status() == 200 ? End.WHOLE : End.TURNED_AWAY);
+        void onResponseComplete() {
+            finish(responseHead.status() == 200 ? EndReason.COMPLETED : EndReason.NOT_ACCEPTED);
         }
 
         @Override
-        void ended(End end) {
-            report.probed(end.outcome(), load);
+        void onFinished(EndReason reason) {
+            report.onHealthChecked(reason.outcome(), loadReport);
         }
     }
 }
--- a/node/src/main/java/fawnlb/backend/BackendPool.java
+++ b/node/src/main/java/fawnlb/backend/BackendPool.java
@@ -1,15 +1,15 @@
 package fawnlb.backend;
 
-import fawnlb.actor.Mailbox;
-import fawnlb.actor.Timers;
-import fawnlb.decision.Balancer.Outcome;
-import fawnlb.decision.Balancer.Phase;
-import fawnlb.dialect.Dialect;
-import fawnlb.flow.Ask;
-import fawnlb.flow.Backends;
-import fawnlb.stream.End;
-import fawnlb.stream.Ending;
-import fawnlb.stream.Streams;
+import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.eventloop.Mailbox;
+import fawnlb.eventloop.Timers;
+import fawnlb.proxy.Backends;
+import fawnlb.proxy.IncomingRequest;
+import fawnlb.stream.AttemptEnd;
+import fawnlb.stream.EndReason;
+import fawnlb.stream.StreamRegistry;
+import fawnlb.translation.Dialect;
 import java.net.InetSocketAddress;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -20,30 +20,36 @@
 
 /** All backends that the list has named, an actor each. */
 public final class BackendPool implements Backends {
-    private static final int MAILBOX = 4096;
+    private static final int MAILBOX_CAPACITY = 4096;
 
     private final XnioIoThread thread;
     private final Timers timers;
     private final Limits limits;
     private final Map<Long, Backend> backends = new HashMap<>();
-    private final Streams streams;
-    private int sockets;
+    private final StreamRegistry streams;
+    private int openSockets;
 
     /**
      * What holds for all connections; times in nanoseconds.
      *
-     * @param connect how long a connect may take
+     * @param connectTimeoutNanos how long a connect may take
      * @param idle after how long a backend closes a connection that carries no request
-     * @param rest how long a connection rests between two requests. A backend may send a second answer behind the
-     *     first, some milliseconds late: behind the next request it would be taken for that one's answer, while a
+     * @param minRestNanos how long a connection rests between two requests. A backend may send a second answer behind
+     *     the first, some milliseconds late: behind the next request it would be taken for that one's answer, while a
      *     resting connection closes
      * @param probe how long a probe may take
      * @param sockets how many connections may be open
-     * @param reportFields the fields of load reports, in their order
+     * @param loadReportFields the fields of load reports, in their order
      */
-    public record Limits(long connect, long idle, long rest, long probe, int sockets, List<String> reportFields) {}
+    public record Limits(
+            long connectTimeoutNanos,
+            long backendIdleTimeoutNanos,
+            long minRestNanos,
+            long healthCheckTimeoutNanos,
+            int maxSockets,
+            List<String> loadReportFields) {}
 
-    public BackendPool(XnioIoThread thread, Timers timers, Limits limits, Streams streams) {
+    public BackendPool(XnioIoThread thread, Timers timers, Limits limits, StreamRegistry streams) {
         this.thread = thread;
         this.timers = timers;
         this.limits = limits;
@@ -51,80 +57,104 @@
     }
 
     /**
-     * Where a backend listens, as the list says; one that is gone keeps the attempts it has. {@code since}: when it
-     * started. Idle connections from before that lead nowhere, and one to a machine that vanished does not say so.
+     * Where a backend listens, as the list says; one that is gone keeps the attempts it has. {@code startedAtNanos}:
+     * when it started. Idle connections from before that lead nowhere, and one to a machine that vanished does not say
+     * so.
      */
-    public void place(long id, InetSocketAddress address, long since, Phase phase, Dialect dialect) {
+    public void updateBackend(
+            long id, InetSocketAddress address, long startedAtNanos, EndpointPhase phase, Dialect dialect) {
         Backend backend = backends.get(id);
-        boolean changed = backend != null && (phase == Phase.GONE || !backend.is(address, since, dialect));
+        boolean changed =
+                backend != null && (phase == EndpointPhase.GONE || !backend.matches(address, startedAtNanos, dialect));
         if (changed) {
             backends.remove(id);
-            backend.leave();
+            backend.remove();
         }
-        if (phase != Phase.GONE && (backend == null || changed)) {
+        if (phase != EndpointPhase.GONE && (backend == null || changed)) {
             backend = new Backend(
-                    id, address, since, dialect, thread, timers, new Mailbox(thread, MAILBOX), limits, this, streams);
+                    id,
+                    address,
+                    startedAtNanos,
+                    dialect,
+                    thread,
+                    timers,
+                    new Mailbox(thread, MAILBOX_CAPACITY),
+                    limits,
+                    this,
+                    streams);
             backends.put(id, backend);
         }
-        if (phase != Phase.GONE) {
-            backend.drains(phase == Phase.DRAINING);
+        if (phase != EndpointPhase.GONE) {
+            backend.setDraining(phase == EndpointPhase.DRAINING);
         }
     }
 
     /** Lets go of all others: a whole list names those that are gone by leaving them out. */
-    public void keep(Set<Long> listed) {
+    public void retainOnly(Set<Long> listed) {
         backends.entrySet().removeIf(entry -> {
-            boolean gone = !listed.contains(entry.getKey());
-            if (gone) {
-                entry.getValue().leave();
+            boolean isRemoved = !listed.contains(entry.getKey());
+            if (isRemoved) {
+                entry.getValue().remove();
             }
-            return gone;
+            return isRemoved;
         });
     }
 
     @Override
-    public Attempt attempt(long id, Ask ask, long until, long sendBy, boolean again, Report report) {
+    public Attempt startAttempt(
+            long id,
+            IncomingRequest request,
+            long responseDeadlineNanos,
+            long sendDeadlineNanos,
+            boolean canRetry,
+            AttemptListener report) {
         Backend backend = backends.get(id);
-        if (backend == null || !((Parcel) ask.parcel()).speaks(backend.dialect())) {
-            report.ended(Ending.of(End.NOT_SENT), 0, List.of());
-            return end -> {};
+        if (backend == null || !((OutboundRequest) request.payload()).canBeSentAs(backend.dialect())) {
+            report.onAttemptEnded(AttemptEnd.of(EndReason.NOT_SENT), 0, List.of());
+            return reason -> {};
         }
-        return backend.attempt((Parcel) ask.parcel(), ask.promptTokens(), until, sendBy, again, report);
+        return backend.startAttempt(
+                (OutboundRequest) request.payload(),
+                request.promptTokens(),
+                responseDeadlineNanos,
+                sendDeadlineNanos,
+                canRetry,
+                report);
     }
 
     /** Where a backend listens, {@code -} if it is not listed. */
-    public String address(long id) {
+    public String describeAddress(long id) {
         Backend backend = backends.get(id);
-        return backend == null ? "-" : backend.host();
+        return backend == null ? "-" : backend.hostAndPort();
     }
 
     @Override
-    public void probe(long id, ProbeReport report) {
+    public void checkHealth(long id, HealthCheckListener report) {
         Backend backend = backends.get(id);
         if (backend == null) {
-            report.probed(Outcome.NEVER_SENT, List.of());
+            report.onHealthChecked(AttemptOutcome.NEVER_SENT, List.of());
         } else {
-            backend.probe(report);
+            backend.checkHealth(report);
         }
     }
 
     /** Whether one more connection may be opened; idle ones to other backends make room. */
-    boolean socketFree() {
-        if (sockets >= limits.sockets()) {
+    boolean makeRoomForSocket() {
+        if (openSockets >= limits.maxSockets()) {
             backends.values().stream()
-                    .map(Backend::idle)
+                    .map(Backend::idleConnections)
                     .filter(idle -> !idle.isEmpty())
-                    .min(Comparator.comparingLong(IdleConnections::eldestSince))
-                    .ifPresent(IdleConnections::closeEldest);
+                    .min(Comparator.comparingLong(IdleConnections::oldestIdleSinceNanos))
+                    .ifPresent(IdleConnections::closeOldest);
         }
-        return sockets < limits.sockets();
+        return openSockets < limits.maxSockets();
     }
 
-    void socketOpened() {
-        sockets++;
+    void onSocketOpened() {
+        openSockets++;
     }
 
-    void socketClosed() {
-        sockets--;
+    void onSocketClosed() {
+        openSockets--;
     }
 }
--- a/node/src/main/java/fawnlb/backend/IdleConnections.java
+++ b/node/src/main/java/fawnlb/backend/IdleConnections.java
@@ -1,7 +1,7 @@
 package fawnlb.backend;
 
-import fawnlb.actor.Timers;
-import fawnlb.http.Connection;
+import fawnlb.eventloop.Timers;
+import fawnlb.http.HttpClientConnection;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Iterator;
@@ -12,63 +12,63 @@
      * A connection is retired at this part of the time after which the backend itself may close it: a request written
      * to one that is just being closed would count as a reset.
      */
-    private static final double RETIRE = 0.85;
+    private static final double RETIREMENT_FRACTION = 0.85;
 
-    private final Deque<Idle> idle = new ArrayDeque<>();
-    private final long rest;
-    private final long limit;
+    private final Deque<IdleConnection> idle = new ArrayDeque<>();
+    private final long minRestNanos;
+    private final long retireAfterNanos;
     private final Timers timers;
-    private final Runnable closed;
+    private final Runnable onClosed;
 
-    private record Idle(Connection connection, long since) {}
+    private record IdleConnection(HttpClientConnection connection, long idleSinceNanos) {}
 
     /**
      * None so far.
      *
-     * @param rest how long a connection rests before it is used again, in nanoseconds
-     * @param closedByBackend after how long the backend may close an idle one, in nanoseconds
-     * @param closed told of each that was closed here
+     * @param minRestNanos how long a connection rests before it is used again, in nanoseconds
+     * @param backendIdleTimeoutNanos after how long the backend may close an idle one, in nanoseconds
+     * @param onClosed told of each that was closed here
      */
-    IdleConnections(long rest, long closedByBackend, Timers timers, Runnable closed) {
-        this.rest = rest;
-        this.limit = (long) (closedByBackend * RETIRE);
+    IdleConnections(long minRestNanos, long backendIdleTimeoutNanos, Timers timers, Runnable onClosed) {
+        this.minRestNanos = minRestNanos;
+        this.retireAfterNanos = (long) (backendIdleTimeoutNanos * RETIREMENT_FRACTION);
         this.timers = timers;
-        this.closed = closed;
+        this.onClosed = onClosed;
     }
 
     /** How long one is kept, in nanoseconds. */
-    long limit() {
-        return limit;
+    long retireAfterNanos() {
+        return retireAfterNanos;
     }
 
-    void add(Connection connection) {
-        idle.addLast(new Idle(connection, timers.now()));
+    void add(HttpClientConnection connection) {
+        idle.addLast(new IdleConnection(connection, timers.now()));
     }
 
     /** The usable connection that has rested for the shortest time, and long enough; null if there is none. */
-    Connection take() {
-        retire();
-        Iterator<Idle> latestFirst = idle.descendingIterator();
-        while (latestFirst.hasNext()) {
-            Idle candidate = latestFirst.next();
-            if (timers.now() - candidate.since() < rest) {
+    HttpClientConnection take() {
+        closeExpired();
+        Iterator<IdleConnection> newestFirst = idle.descendingIterator();
+        while (newestFirst.hasNext()) {
+            IdleConnection candidate = newestFirst.next();
+            if (timers.now() - candidate.idleSinceNanos() < minRestNanos) {
                 continue;
             }
-            latestFirst.remove();
+            newestFirst.remove();
             if (candidate.connection().isUsable()) {
                 return candidate.connection();
             }
-            closed.run();
+            onClosed.run();
         }
         return null;
     }
 
     /** Closes those that have been idle for too long, or that have closed. */
-    void retire() {
+    void closeExpired() {
         while (!idle.isEmpty()
                 && (!idle.peek().connection().isOpen()
-                        || timers.now() - idle.peek().since() >= limit)) {
-            closeEldest();
+                        || timers.now() - idle.peek().idleSinceNanos() >= retireAfterNanos)) {
+            closeOldest();
         }
     }
 
@@ -77,18 +77,18 @@
     }
 
     /** Since when the eldest has been idle; there must be one. */
-    long eldestSince() {
-        return idle.peek().since();
+    long oldestIdleSinceNanos() {
+        return idle.peek().idleSinceNanos();
     }
 
-    void closeEldest() {
+    void closeOldest() {
         idle.poll().connection().close();
-        closed.run();
+        onClosed.run();
     }
 
     void closeAll() {
         while (!idle.isEmpty()) {
-            closeEldest();
+            closeOldest();
         }
     }
 }
--- a/node/src/main/java/fawnlb/backend/LoadReport.java
+++ b/node/src/main/java/fawnlb/backend/LoadReport.java
@@ -8,7 +8,7 @@
 /** A backend's load report, {@code TEXT inflight=7, queue=2, util=0.61}, in the order that the settings name. */
 final class LoadReport {
     /** The settings' names of the values, and the report's. */
-    private static final Map<String, String> NAMES = Map.of(
+    private static final Map<String, String> REPORT_NAMES = Map.of(
             "active",
             "inflight",
             "waiting",
@@ -27,16 +27,16 @@
     /** The values, 0 for one that is missing; nothing if the text is no report. */
     static List<Double> parse(String text, List<String> fields) {
         List<Double> values = new ArrayList<>();
-        boolean any = false;
+        boolean anyPresent = false;
         for (String field : fields) {
-            Double value = value(text, NAMES.getOrDefault(field, field));
-            any |= value != null;
+            Double value = findValue(text, REPORT_NAMES.getOrDefault(field, field));
+            anyPresent |= value != null;
             values.add(value == null ? 0 : value);
         }
-        return any ? values : List.of();
+        return anyPresent ? values : List.of();
     }
 
-    private static Double value(String text, String name) {
+    private static Double findValue(String text, String name) {
         for (String part : text.toLowerCase(Locale.ROOT).split("[\\s,;]+")) {
             if (part.startsWith(name + "=")) {
                 try {
--- a/node/src/main/java/fawnlb/cli/LogWriter.java
+++ b/node/src/main/java/fawnlb/cli/LogWriter.java
@@ -16,16 +16,16 @@
  */
 final class LogWriter extends Handler {
     /** Lines that may wait; those beyond are counted and left out. */
-    static final int ROOM = 1024;
+    static final int QUEUE_CAPACITY = 1024;
 
-    private final BlockingQueue<LogRecord> waiting = new ArrayBlockingQueue<>(ROOM);
-    private final AtomicLong dropped = new AtomicLong();
-    private final Handler[] to;
-    private volatile boolean writing;
+    private final BlockingQueue<LogRecord> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final AtomicLong droppedRecords = new AtomicLong();
+    private final Handler[] handlers;
+    private volatile boolean isWriting;
 
-    LogWriter(Handler... to) {
-        this.to = to.clone();
-        Thread thread = new Thread(this::write, "log");
+    LogWriter(Handler... handlers) {
+        this.handlers = handlers.clone();
+        Thread thread = new Thread(this::writeQueuedRecords, "log");
         thread.setDaemon(true);
         thread.start();
     }
@@ -33,48 +33,51 @@
     /** Puts itself before all handlers of the root logger. */
     static LogWriter install() {
         Logger root = LogManager.getLogManager().getLogger("");
-        Handler[] all = root.getHandlers();
-        for (Handler handler : all) {
+        Handler[] installedHandlers = root.getHandlers();
+        for (Handler handler : installedHandlers) {
             root.removeHandler(handler);
         }
-        LogWriter writer = new LogWriter(all);
+        LogWriter writer = new LogWriter(installedHandlers);
         root.addHandler(writer);
         return writer;
     }
 
     @Override
     public void publish(LogRecord record) {
-        if (!waiting.offer(record)) {
-            dropped.incrementAndGet();
+        if (!queue.offer(record)) {
+            droppedRecords.incrementAndGet();
         }
     }
 
-    private void write() {
+    private void writeQueuedRecords() {
         try {
             while (true) {
-                LogRecord record = waiting.take();
-                writing = true;
-                pass(record);
-                long lost = waiting.isEmpty() ? dropped.getAndSet(0) : 0;
-                if (lost > 0) {
-                    pass(new LogRecord(Level.WARNING, lost + " log lines were left out: nobody read them in time"));
+                LogRecord record = queue.take();
+                isWriting = true;
+                forward(record);
+                long droppedCount = queue.isEmpty() ? droppedRecords.getAndSet(0) : 0;
+                if (droppedCount > 0) {
+                    forward(new LogRecord(
+                            Level.WARNING, droppedCount + " log lines were left out: nobody read them in time"));
                 }
-                writing = false;
+                isWriting = false;
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void pass(LogRecord record) {
-        for (Handler handler : to) {
+    private void forward(LogRecord record) {
+        for (Handler handler : handlers) {
             handler.publish(record);
         }
     }
 
     /** Waits until all lines are written, for so many milliseconds at most. */
-    void await(long millis) throws InterruptedException {
-        for (long left = millis; left > 0 && (writing || !waiting.isEmpty()); left--) {
+    void awaitWritten(long timeoutMillis) throws InterruptedException {
+        for (long remainingMillis = timeoutMillis;
+                remainingMillis > 0 && (isWriting || !queue.isEmpty());
+                remainingMillis--) {
             Thread.sleep(1);
         }
     }
--- a/node/src/main/java/fawnlb/cli/Main.java
+++ b/node/src/main/java/fawnlb/cli/Main.java
@@ -5,13 +5,13 @@
 import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
 import fawnlb.admin.AdminClient;
-import fawnlb.config.BrokerConfig;
-import fawnlb.config.NodeConfig;
-import fawnlb.config.StartConfig;
-import fawnlb.config.StreamConfig;
-import fawnlb.decision.Balancer.Settings;
+import fawnlb.config.MessagesConfiguration;
+import fawnlb.config.ServerConfiguration;
+import fawnlb.config.StartupConfiguration;
+import fawnlb.config.StreamConfiguration;
+import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.simulator.SimulatorHost;
 import fawnlb.snapshot.SnapshotStore;
-import fawnlb.wire.WireHost;
 import java.io.BufferedInputStream;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
@@ -28,13 +28,13 @@
 /** The command line. */
 public final class Main {
     private static final Logger LOG = Logger.getLogger(Main.class.getName());
-    private static final int WRONG = 2;
+    private static final int EXIT_USAGE_ERROR = 2;
     /** As a process that SIGTERM ends; supervisors know it. */
-    private static final int TERMINATED = 128 + 15;
+    private static final int EXIT_TERMINATED = 128 + 15;
 
-    private static final long LAST_LINES_MS = 200;
+    private static final long LOG_FLUSH_TIMEOUT_MILLIS = 200;
     /** One line a record, unless whoever starts the program wants another form. */
-    private static final String LOG_FORMAT = "java.util.logging.SimpleFormatter.format";
+    private static final String LOG_FORMAT_PROPERTY = "java.util.logging.SimpleFormatter.format";
 
     private Main() {}
 
@@ -44,126 +44,139 @@
     }
 
     /** Where a node's configuration is. */
-    private static class Configured {
+    private static class ConfiguredCommand {
         @Parameter(names = "--config", description = "the node's configuration (default: $PROXY_CONFIG)")
-        private String config = System.getenv("PROXY_CONFIG");
+        private String configurationFile = System.getenv("PROXY_CONFIG");
 
         @Parameter(names = "--broker", description = "the teams' contracts; without it the messages front is off")
-        private String broker;
+        private String messagesFile;
 
         @Parameter(names = "--start", description = "how to start without discovery; without it nothing is remembered")
-        private String start;
+        private String startupFile;
 
         @Parameter(
                 names = "--streams",
                 description = "when streams are given up, and the admin listener; without it, the usual")
-        private String streams;
+        private String streamsFile;
 
-        NodeConfig read() throws NodeConfig.Bad {
-            if (config == null) {
-                throw new NodeConfig.Bad("no configuration: give --config FILE or set PROXY_CONFIG");
+        ServerConfiguration readServerConfiguration() throws ServerConfiguration.ConfigurationException {
+            if (configurationFile == null) {
+                throw new ServerConfiguration.ConfigurationException(
+                        "no configuration: give --config FILE or set PROXY_CONFIG");
             }
-            NodeConfig read = NodeConfig.read(Path.of(config), System.getenv());
-            read.complaints().forEach(System.err::println);
-            return read;
+            ServerConfiguration configuration = ServerConfiguration.read(Path.of(configurationFile), System.getenv());
+            configuration.warnings().forEach(System.err::println);
+            return configuration;
         }
 
         /** Reads the file again. Where the list is comes from the file now: the environment can't change. */
-        synchronized void reload(Node node) {
+        synchronized void reloadConfiguration(Server server) {
             try {
                 Map<String, String> environment = new HashMap<>(System.getenv());
                 environment.remove("PROXY_DISCOVERY");
-                node.reload(NodeConfig.read(Path.of(config), environment));
-            } catch (NodeConfig.Bad e) {
+                server.reload(ServerConfiguration.read(Path.of(configurationFile), environment));
+            } catch (ServerConfiguration.ConfigurationException e) {
                 LOG.warning("configuration not reloaded, the old settings stay: " + e.getMessage());
             }
         }
 
         /** The planned end; a second signal changes nothing. */
-        void end(Node node) {
+        void shutDownAndExit(Server server) {
             try {
-                node.drain();
+                server.shutDownGracefully();
             } finally {
-                System.exit(TERMINATED);
+                System.exit(EXIT_TERMINATED);
             }
         }
 
-        BrokerConfig broker() throws NodeConfig.Bad {
-            return broker == null ? null : BrokerConfig.read(Path.of(broker));
+        MessagesConfiguration readMessagesConfiguration() throws ServerConfiguration.ConfigurationException {
+            return messagesFile == null ? null : MessagesConfiguration.read(Path.of(messagesFile));
         }
 
-        StreamConfig streams() throws NodeConfig.Bad {
-            return streams == null ? StreamConfig.none() : StreamConfig.read(Path.of(streams));
+        StreamConfiguration readStreamConfiguration() throws ServerConfiguration.ConfigurationException {
+            return streamsFile == null
+                    ? StreamConfiguration.defaults()
+                    : StreamConfiguration.read(Path.of(streamsFile));
         }
 
-        StartConfig start(Settings settings) throws NodeConfig.Bad {
-            return start == null ? StartConfig.none(settings) : StartConfig.read(Path.of(start), settings);
+        StartupConfiguration readStartupConfiguration(LoadBalancerSettings settings)
+                throws ServerConfiguration.ConfigurationException {
+            return startupFile == null
+                    ? StartupConfiguration.defaults(settings)
+                    : StartupConfiguration.read(Path.of(startupFile), settings);
         }
     }
 
     @Parameters(commandDescription = "Run one node until it is told to end")
-    private static final class Serve extends Configured implements Command {
-        private Node node;
+    private static final class ServeCommand extends ConfiguredCommand implements Command {
+        private Server server;
 
         @Override
         public void run() throws Exception {
-            NodeConfig read = read();
-            node = new Node(read, broker(), start(read.settings()), streams());
-            if (!Signals.handle("HUP", () -> reload(node))) {
+            ServerConfiguration configuration = readServerConfiguration();
+            server = new Server(
+                    configuration,
+                    readMessagesConfiguration(),
+                    readStartupConfiguration(configuration.settings()),
+                    readStreamConfiguration());
+            if (!SignalHandlers.install("HUP", () -> reloadConfiguration(server))) {
                 LOG.warning("SIGHUP is ignored by whoever started this process: the configuration can't be read again");
             }
             // By a handler and not by a shutdown hook alone, at which the platform would close the log at once; before
             // the node
             // lets clients in, for the signal may come between its first answer and its last step.
-            Signals.handle("TERM", () -> end(node));
-            node.start();
-            Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain"));
+            SignalHandlers.install("TERM", () -> shutDownAndExit(server));
+            server.start();
+            Runtime.getRuntime().addShutdownHook(new Thread(server::shutDownGracefully, "drain"));
         }
     }
 
     @Parameters(commandDescription = "Read a configuration and say what is wrong with it")
-    private static final class Check extends Configured implements Command {
+    private static final class CheckCommand extends ConfiguredCommand implements Command {
         @Override
         public void run() throws Exception {
-            NodeConfig read = read();
-            System.out.println(read.name() + ": listens on " + read.listen() + ", "
-                    + read.settings().classes().size() + " class(es), "
-                    + (read.known() == null ? 0 : read.known().members().size()) + " known target(s)");
-            BrokerConfig teams = broker();
-            if (teams != null) {
-                System.out.println("broker: listens on " + teams.listen() + ", "
-                        + teams.contracts().teams().size() + " team(s)");
+            ServerConfiguration configuration = readServerConfiguration();
+            System.out.println(configuration.name() + ": listens on " + configuration.listenAddress() + ", "
+                    + configuration.settings().requestClasses().size() + " class(es), "
+                    + (configuration.initialEndpoints() == null
+                            ? 0
+                            : configuration.initialEndpoints().endpoints().size())
+                    + " known target(s)");
+            MessagesConfiguration messages = readMessagesConfiguration();
+            if (messages != null) {
+                System.out.println("broker: listens on " + messages.listenAddress() + ", "
+                        + messages.contracts().teams().size() + " team(s)");
             }
-            StartConfig begin = start(read.settings());
+            StartupConfiguration startup = readStartupConfiguration(configuration.settings());
             System.out.println("start: "
-                    + (begin.snapshot() == null
+                    + (startup.snapshotFile() == null
                             ? "nothing is remembered"
-                            : "the list is remembered in " + begin.snapshot()));
-            StreamConfig streams = streams();
-            System.out.println("streams: given up after " + streams.rules().pause() / 1_000_000 + " to "
-                    + streams.rules().mostSilence() / 1_000_000 + " ms of silence; admin listener "
-                    + (streams.admin() == null ? "off" : "on " + streams.admin()));
+                            : "the list is remembered in " + startup.snapshotFile()));
+            StreamConfiguration streams = readStreamConfiguration();
+            System.out.println("streams: given up after " + streams.timeouts().backendPauseNanos() / 1_000_000 + " to "
+                    + streams.timeouts().maxSilenceNanos() / 1_000_000 + " ms of silence; admin listener "
+                    + (streams.adminAddress() == null ? "off" : "on " + streams.adminAddress()));
         }
     }
 
     @Parameters(commandDescription = "Start a node, serve one request from a target of its own, and end")
-    private static final class Rehearse implements Command {
+    private static final class RehearseCommand implements Command {
         @Override
         public void run() throws Exception {
-            Rehearsal.run(config -> {
-                Serve serve = (Serve) command("serve", "--config", config);
+            ClassArchiveWarmup.run(config -> {
+                ServeCommand serve = (ServeCommand) parseCommand("serve", "--config", config);
                 serve.run();
-                return serve.node;
+                return serve.server;
             });
             System.exit(0);
         }
     }
 
     @Parameters(commandDescription = "Speak the simulator's wire on standard input and output")
-    private static final class Wire implements Command {
+    private static final class SimulatorCommand implements Command {
         @Override
         public void run() throws IOException {
-            new WireHost(
+            new SimulatorHost(
                             new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                             new FileOutputStream(FileDescriptor.out))
                     .run();
@@ -171,48 +184,50 @@
     }
 
     @Parameters(commandDescription = "Print a remembered list: snapshot show FILE")
-    private static final class Remembers implements Command {
+    private static final class SnapshotCommand implements Command {
         @Parameter(description = "show FILE")
-        private List<String> words = new ArrayList<>();
+        private List<String> arguments = new ArrayList<>();
 
         @Override
-        public void run() throws NodeConfig.Bad {
-            if (words.size() != 2 || !words.get(0).equals("show")) {
-                throw new NodeConfig.Bad("snapshot: expected 'show FILE'");
+        public void run() throws ServerConfiguration.ConfigurationException {
+            if (arguments.size() != 2 || !arguments.get(0).equals("show")) {
+                throw new ServerConfiguration.ConfigurationException("snapshot: expected 'show FILE'");
             }
             try {
-                SnapshotTable.print(SnapshotStore.read(Path.of(words.get(1))), System.currentTimeMillis(), System.out);
+                SnapshotPrinter.print(
+                        SnapshotStore.read(Path.of(arguments.get(1))), System.currentTimeMillis(), System.out);
             } catch (NoSuchFileException e) {
-                throw new NodeConfig.Bad(words.get(1) + ": no such file");
+                throw new ServerConfiguration.ConfigurationException(arguments.get(1) + ": no such file");
             } catch (IOException e) {
-                throw new NodeConfig.Bad(words.get(1) + ": " + e.getMessage());
+                throw new ServerConfiguration.ConfigurationException(arguments.get(1) + ": " + e.getMessage());
             }
         }
     }
 
     @Parameters(commandDescription = "Ask a running node for its targets and their streams")
-    private static final class BackendsCommand implements Command {
+    private static final class TargetsCommand implements Command {
         @Parameter(
                 names = "--admin",
                 description = "the node's admin listener, as its --streams file has it",
                 required = true)
-        private String admin;
+        private String adminAddress;
 
         @Parameter(names = "--json", description = "as JSON")
-        private boolean json;
+        private boolean asJson;
 
         @Override
         public void run() throws Exception {
             try {
-                System.out.print(AdminClient.backends(NodeConfig.address("--admin", admin), json));
+                System.out.print(
+                        AdminClient.fetchTargets(ServerConfiguration.parseAddress("--admin", adminAddress), asJson));
             } catch (IOException e) {
-                throw new IOException("no answer from " + admin + ": " + e.getMessage());
+                throw new IOException("no answer from " + adminAddress + ": " + e.getMessage());
             }
         }
     }
 
     @Parameters(commandDescription = "Print the version")
-    private static final class Version implements Command {
+    private static final class VersionCommand implements Command {
         @Override
         public void run() {
             System.out.println("fawnlb " + Main.class.getPackage().getImplementationVersion());
@@ -220,60 +235,63 @@
     }
 
     /** The sub-command that the words name, with its options read. */
-    private static Command command(String... words) {
-        JCommander line = JCommander.newBuilder()
+    private static Command parseCommand(String... arguments) {
+        JCommander commandLine = JCommander.newBuilder()
                 .programName("java -jar fawnlb.jar")
-                .addCommand("serve", new Serve())
-                .addCommand("check", new Check())
-                .addCommand("snapshot", new Remembers())
-                .addCommand("targets", new BackendsCommand())
-                .addCommand("rehearse", new Rehearse())
-                .addCommand("wirehost", new Wire())
-                .addCommand("version", new Version())
+                .addCommand("serve", new ServeCommand())
+                .addCommand("check", new CheckCommand())
+                .addCommand("snapshot", new SnapshotCommand())
+                .addCommand("targets", new TargetsCommand())
+                .addCommand("rehearse", new RehearseCommand())
+                .addCommand("wirehost", new SimulatorCommand())
+                .addCommand("version", new VersionCommand())
                 .build();
-        line.parse(words);
-        if (line.getParsedCommand() == null) {
-            line.usage();
-            System.exit(WRONG);
+        commandLine.parse(arguments);
+        if (commandLine.getParsedCommand() == null) {
+            commandLine.usage();
+            System.exit(EXIT_USAGE_ERROR);
         }
-        return (Command)
-                line.getCommands().get(line.getParsedCommand()).getObjects().get(0);
+        return (Command) commandLine
+                .getCommands()
+                .get(commandLine.getParsedCommand())
+                .getObjects()
+                .get(0);
     }
 
     /**
      * XNIO and JBoss Threads put beans into the platform's management server, which nothing here reads: it takes 300
      * classes and a tenth of a start. Both do without it where it can't be had; who wants it sets the properties.
      */
-    private static void withoutManagementBeans() {
-        for (String[] pair : new String[][] {
+    private static void disableManagementBeans() {
+        for (String[] property : new String[][] {
             {"javax.management.builder.initial", "none"}, {"jboss.threads.eqe.register-mbean", "false"}
         }) {
-            if (System.getProperty(pair[0]) == null) {
-                System.setProperty(pair[0], pair[1]);
+            if (System.getProperty(property[0]) == null) {
+                System.setProperty(property[0], property[1]);
             }
         }
     }
 
-    private static void lastLines(LogWriter log) {
+    private static void awaitLogWritten(LogWriter logWriter) {
         try {
-            log.await(LAST_LINES_MS);
+            logWriter.awaitWritten(LOG_FLUSH_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     public static void main(String[] args) {
-        withoutManagementBeans();
-        if (System.getProperty(LOG_FORMAT) == null) {
-            System.setProperty(LOG_FORMAT, "%1$tFT%1$tT.%1$tL %4$s %3$s: %5$s%6$s%n");
+        disableManagementBeans();
+        if (System.getProperty(LOG_FORMAT_PROPERTY) == null) {
+            System.setProperty(LOG_FORMAT_PROPERTY, "%1$tFT%1$tT.%1$tL %4$s %3$s: %5$s%6$s%n");
         }
-        LogWriter log = LogWriter.install();
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> lastLines(log), "last lines"));
+        LogWriter logWriter = LogWriter.install();
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> awaitLogWritten(logWriter), "last lines"));
         try {
-            command(args).run();
-        } catch (ParameterException | NodeConfig.Bad e) {
+            parseCommand(args).run();
+        } catch (ParameterException | ServerConfiguration.ConfigurationException e) {
             System.err.println("fawnlb: " + e.getMessage());
-            System.exit(WRONG);
+            System.exit(EXIT_USAGE_ERROR);
         } catch (Exception e) {
             System.err.println("fawnlb: " + (e instanceof IOException ? e.getMessage() : e));
             System.exit(1);
--- a/node/src/main/java/fawnlb/client/Keys.java
+++ b/node/src/main/java/fawnlb/client/AffinityKeys.java
@@ -1,11 +1,11 @@
 package fawnlb.client;
 
 /** Keys of conversations and of their shared beginnings, alike at every node. */
-public final class Keys {
-    private Keys() {}
+public final class AffinityKeys {
+    private AffinityKeys() {}
 
     /** Up to 16 hexadecimal digits are the key itself; any other text is hashed; 0 is no key. */
-    public static long of(String text) {
+    public static long parse(String text) {
         if (text == null || text.isBlank()) {
             return 0;
         }
--- a/node/src/main/java/fawnlb/client/ClientExchange.java
+++ b/node/src/main/java/fawnlb/client/ClientExchange.java
@@ -1,14 +1,14 @@
 package fawnlb.client;
 
-import fawnlb.actor.Mailbox;
-import fawnlb.flow.ClientConnection;
-import fawnlb.flow.Flows;
-import fawnlb.flow.Source;
+import fawnlb.eventloop.Mailbox;
 import fawnlb.metrics.Invariant;
 import fawnlb.metrics.Metrics;
 import fawnlb.metrics.Metrics.Metric;
-import fawnlb.stream.End;
-import fawnlb.stream.Ending;
+import fawnlb.proxy.ClientConnection;
+import fawnlb.proxy.RequestProxy;
+import fawnlb.proxy.ResponseSource;
+import fawnlb.stream.AttemptEnd;
+import fawnlb.stream.EndReason;
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.server.Connectors;
 import io.undertow.server.HttpServerExchange;
@@ -25,100 +25,100 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /** The actor of one client's exchange: passes the answer on as it comes, and sees the client leave. */
-public final class ClientExchange implements ClientConnection, Source.Sink {
+public final class ClientExchange implements ClientConnection, ResponseSource.Sink {
     private static final Logger LOG = Logger.getLogger(ClientExchange.class.getName());
-    private static final AttachmentKey<Serving> SERVING = AttachmentKey.create(Serving.class);
-    private static final AttachmentKey<Long> QUEUED = AttachmentKey.create(Long.class);
+    private static final AttachmentKey<CurrentExchange> CURRENT_EXCHANGE = AttachmentKey.create(CurrentExchange.class);
+    private static final AttachmentKey<Long> QUEUED_NANOS = AttachmentKey.create(Long.class);
 
     /** The ends of an event, as the last bytes that were passed on. */
-    private static final int BLANK_LINE = 0x0a0a;
+    private static final int EVENT_END_LF = 0x0a0a;
 
-    private static final int BLANK_CRLF_LINE = 0x0d0a0d0a;
+    private static final int EVENT_END_CRLF = 0x0d0a0d0a;
 
     private final HttpServerExchange exchange;
     private final HttpServerConnection connection;
     private final Mailbox mailbox;
-    private final Replies replies;
-    private Serving serving;
-    private Flows.Ticket ticket;
-    private Source source;
-    private StreamSinkChannel channel;
-    private ByteBuffer pending;
+    private final ResponseFormatter formatter;
+    private CurrentExchange currentExchange;
+    private RequestProxy.RequestHandle requestHandle;
+    private ResponseSource source;
+    private StreamSinkChannel responseChannel;
+    private ByteBuffer pendingChunk;
     private int lastBytes;
-    private boolean ended;
-    private boolean done;
-    private Replies.End endedAs;
+    private boolean streamEnded;
+    private boolean finished;
+    private ResponseFormatter.ClientOutcome outcome;
 
-    public ClientExchange(HttpServerExchange exchange, Mailbox mailbox, Replies replies) {
+    public ClientExchange(HttpServerExchange exchange, Mailbox mailbox, ResponseFormatter formatter) {
         this.exchange = exchange;
         this.connection = (HttpServerConnection) exchange.getConnection();
         this.mailbox = mailbox;
-        this.replies = replies;
+        this.formatter = formatter;
     }
 
     /** Notes for how long the request may have waited before its connection was accepted, in nanoseconds. */
-    static void noteQueued(HttpServerExchange exchange, long nanos) {
-        exchange.putAttachment(QUEUED, nanos);
+    static void recordQueueingDelay(HttpServerExchange exchange, long queuedNanos) {
+        exchange.putAttachment(QUEUED_NANOS, queuedNanos);
     }
 
     @Override
-    public long queued() {
-        Long nanos = exchange.getAttachment(QUEUED);
-        return nanos == null ? 0 : nanos;
+    public long queuedNanos() {
+        Long queuedNanos = exchange.getAttachment(QUEUED_NANOS);
+        return queuedNanos == null ? 0 : queuedNanos;
     }
 
     /** From here on the exchange answers for the flow, and tells it if the client leaves. */
-    public void serve(Flows.Ticket taken) {
-        ticket = taken;
-        connection.getChannel().getSourceChannel().setReadListener(c -> readable());
+    public void attach(RequestProxy.RequestHandle admittedRequest) {
+        requestHandle = admittedRequest;
+        connection.getChannel().getSourceChannel().setReadListener(c -> readAhead());
         connection.getOriginalSourceConduit().resumeReads();
-        serving = connection.getAttachment(SERVING);
-        if (serving == null) {
-            serving = new Serving();
-            connection.putAttachment(SERVING, serving);
-            Serving watched = serving;
-            connection.addCloseListener(c -> watched.closed());
+        currentExchange = connection.getAttachment(CURRENT_EXCHANGE);
+        if (currentExchange == null) {
+            currentExchange = new CurrentExchange();
+            connection.putAttachment(CURRENT_EXCHANGE, currentExchange);
+            CurrentExchange watchedExchange = currentExchange;
+            connection.addCloseListener(c -> watchedExchange.onConnectionClosed());
         }
-        serving.exchange = this;
+        currentExchange.exchange = this;
     }
 
     /**
      * Which exchange a connection is serving. A connection keeps its close listeners for as long as it stays open: with
      * one for each exchange it would keep every request that it ever carried.
      */
-    private static final class Serving {
+    private static final class CurrentExchange {
         private ClientExchange exchange;
 
-        void closed() {
+        void onConnectionClosed() {
             ClientExchange last = exchange;
             if (last != null) {
-                last.tell(last::left);
+                last.post(last::onClientDisconnected);
             }
         }
     }
 
-    private void tell(Runnable message) {
-        mailbox.tellOrFail(message, this::failUnexpectedly);
+    private void post(Runnable message) {
+        mailbox.tellOrFail(message, this::onUncaughtError);
     }
 
     /**
      * Something threw that nobody expected. A client that has got nothing is told so; where its answer has begun, its
      * connection ends, so that nothing looks finished.
      */
-    private void failUnexpectedly() {
+    private void onUncaughtError() {
         try {
-            if (!done && !exchange.isResponseStarted()) {
-                callOff();
-                answer(replies.failed(null), 0, Replies.End.FAILED, null);
+            if (!finished && !exchange.isResponseStarted()) {
+                cancelRequest();
+                sendFixedResponse(formatter.formatFailure(null), 0, ResponseFormatter.ClientOutcome.FAILED, null);
                 return;
             }
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "a failure could not be answered", e);
         }
-        Invariant.ANSWERED_BEFORE_CLOSE.holds(
-                done || exchange.isResponseStarted(), this::requestId, "it could not be answered");
+        Invariant.ANSWERED_BEFORE_CLOSE.check(
+                finished || exchange.isResponseStarted(), this::requestId, "it could not be answered");
         try {
-            left();
+            onClientDisconnected();
         } finally {
             IoUtils.safeClose(connection);
         }
@@ -130,132 +130,135 @@
     }
 
     /** An answer for a request that is over: of no use where its client has left, and a fault where it had one. */
-    private void tooLate(String what) {
-        Invariant.ONE_FINAL_ANSWER.holds(
-                endedAs == Replies.End.GONE, this::requestId, what + " after it was " + endedAs);
+    private void reportLateAnswer(String answer) {
+        Invariant.ONE_FINAL_ANSWER.check(
+                outcome == ResponseFormatter.ClientOutcome.GONE, this::requestId, answer + " after it was " + outcome);
     }
 
-    private void callOff() {
-        if (ticket != null) {
-            ticket.gone();
+    private void cancelRequest() {
+        if (requestHandle != null) {
+            requestHandle.onClientDisconnected();
         }
     }
 
     /** Told once, at the end of the exchange. */
-    private void finished(Replies.End end, int status, Ending cause) {
-        done = true;
-        endedAs = end;
-        Metrics.count(Metric.REQUESTS, end);
-        if (serving != null) {
-            serving.exchange = null;
+    private void finishAs(ResponseFormatter.ClientOutcome clientOutcome, int status, AttemptEnd cause) {
+        finished = true;
+        outcome = clientOutcome;
+        Metrics.increment(Metric.REQUESTS, clientOutcome);
+        if (currentExchange != null) {
+            currentExchange.exchange = null;
         }
-        replies.finished(end, status, cause);
+        formatter.onExchangeFinished(clientOutcome, status, cause);
         if (source != null) {
-            source.closed();
+            source.onSinkClosed();
         }
     }
 
     /** On a busy processor a client can have left long before anybody reads that it has. */
     @Override
-    public boolean present() {
-        if (!done) {
-            readable();
+    public boolean isConnected() {
+        if (!finished) {
+            readAhead();
         }
-        return !done;
+        return !finished;
     }
 
     /**
      * Undertow does not read while a request is served. We do, to see the client leave, be it behind bytes of its next
      * request.
      */
-    private void readable() {
-        if (done) {
+    private void readAhead() {
+        if (finished) {
             // What comes while the answer is still on its way out must not call us again and again.
             connection.getOriginalSourceConduit().suspendReads();
             return;
         }
-        PooledByteBuffer early = connection.getExtraBytes();
-        if (early == null) {
-            early = connection.getByteBufferPool().allocate();
-            early.getBuffer().limit(0);
-            connection.setExtraBytes(early);
+        PooledByteBuffer readAheadBuffer = connection.getExtraBytes();
+        if (readAheadBuffer == null) {
+            readAheadBuffer = connection.getByteBufferPool().allocate();
+            readAheadBuffer.getBuffer().limit(0);
+            connection.setExtraBytes(readAheadBuffer);
         }
-        ByteBuffer bytes = early.getBuffer();
+        ByteBuffer bytes = readAheadBuffer.getBuffer();
         bytes.compact();
         if (!bytes.hasRemaining()) {
             // Clients ask for one thing at a time. One that sends so much ahead is not read for more than its leaving.
             exchange.setPersistent(false);
             bytes.clear();
         }
-        boolean gone;
+        boolean disconnected;
         try {
-            gone = connection.getOriginalSourceConduit().read(bytes) < 0;
+            disconnected = connection.getOriginalSourceConduit().read(bytes) < 0;
         } catch (IOException e) {
-            gone = true;
+            disconnected = true;
         }
         bytes.flip();
         if (!bytes.hasRemaining()) {
-            early.close();
+            readAheadBuffer.close();
             connection.setExtraBytes(null);
         }
-        if (gone) {
-            left();
+        if (disconnected) {
+            onClientDisconnected();
         }
     }
 
-    private void left() {
-        if (!done) {
-            finished(Replies.End.GONE, channel == null ? 0 : replies.servedStatus(), Ending.of(End.READER_LEFT));
-            callOff();
+    private void onClientDisconnected() {
+        if (!finished) {
+            finishAs(
+                    ResponseFormatter.ClientOutcome.GONE,
+                    responseChannel == null ? 0 : formatter.backendStatus(),
+                    AttemptEnd.of(EndReason.CLIENT_DISCONNECTED));
+            cancelRequest();
             IoUtils.safeClose(connection);
         }
     }
 
     @Override
-    public void streaming(Source from) {
-        tell(() -> {
-            if (done) {
-                tooLate("a stream came");
-                from.closed();
+    public void streamResponse(ResponseSource stream) {
+        post(() -> {
+            if (finished) {
+                reportLateAnswer("a stream came");
+                stream.onSinkClosed();
                 return;
             }
-            source = from;
-            exchange.setStatusCode(replies.servedStatus());
-            exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, replies.servedType());
+            source = stream;
+            exchange.setStatusCode(formatter.backendStatus());
+            exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, formatter.backendContentType());
             // Undertow sends no chunks on a connection that is to close: a cut stream would look whole.
             exchange.getResponseHeaders().put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
-            channel = exchange.getResponseChannel();
-            channel.getWriteSetter().set(c -> write());
-            source.into(this);
+            responseChannel = exchange.getResponseChannel();
+            responseChannel.getWriteSetter().set(c -> write());
+            source.streamTo(this);
         });
     }
 
     @Override
-    public void chunk(ByteBuffer bytes) {
-        tell(() -> {
+    public void onChunk(ByteBuffer bytes) {
+        post(() -> {
             for (int i = Math.max(bytes.position(), bytes.limit() - Integer.BYTES); i < bytes.limit(); i++) {
                 lastBytes = lastBytes << Byte.SIZE | bytes.get(i) & 0xff;
             }
-            pending = bytes;
+            pendingChunk = bytes;
             write();
         });
     }
 
     @Override
-    public void end() {
-        tell(() -> {
-            ended = true;
+    public void onComplete() {
+        post(() -> {
+            streamEnded = true;
             write();
         });
     }
 
     @Override
-    public void broken(Ending ending) {
-        tell(() -> {
-            if (!done) {
+    public void onBroken(AttemptEnd attemptEnd) {
+        post(() -> {
+            if (!finished) {
                 // Closed without a last chunk: a cut stream must not look finished.
-                sayBroken(ending);
-                finished(Replies.End.BROKEN, replies.servedStatus(), ending);
+                writeErrorEvent(attemptEnd);
+                finishAs(ResponseFormatter.ClientOutcome.BROKEN, formatter.backendStatus(), attemptEnd);
                 IoUtils.safeClose(connection);
             }
         });
@@ -265,91 +268,99 @@
      * A front's last words on a broken stream go out in one piece or not at all: a client that reads too slowly must
      * not keep the connection, and behind half an event they would be taken for the rest of it.
      */
-    private void sayBroken(Ending ending) {
-        String words = replies.broken(ending);
-        if (words.isEmpty() || pending != null || (lastBytes & 0xffff) != BLANK_LINE && lastBytes != BLANK_CRLF_LINE) {
+    private void writeErrorEvent(AttemptEnd attemptEnd) {
+        String errorEvent = formatter.formatStreamError(attemptEnd);
+        if (errorEvent.isEmpty()
+                || pendingChunk != null
+                || (lastBytes & 0xffff) != EVENT_END_LF && lastBytes != EVENT_END_CRLF) {
             return;
         }
         try {
-            channel.write(ByteBuffer.wrap(words.getBytes(StandardCharsets.UTF_8)));
-            channel.flush();
+            responseChannel.write(ByteBuffer.wrap(errorEvent.getBytes(StandardCharsets.UTF_8)));
+            responseChannel.flush();
         } catch (IOException e) {
             // The client has left at the same moment.
         }
     }
 
     private void write() {
-        if (done) {
+        if (finished) {
             return;
         }
         try {
-            while (pending != null && pending.hasRemaining()) {
-                if (channel.write(pending) == 0) {
-                    lags(pending.remaining());
+            while (pendingChunk != null && pendingChunk.hasRemaining()) {
+                if (responseChannel.write(pendingChunk) == 0) {
+                    reportUnwritten(pendingChunk.remaining());
                     return;
                 }
             }
-            if (!channel.flush()) {
-                lags(1);
+            if (!responseChannel.flush()) {
+                reportUnwritten(1);
                 return;
             }
-            channel.suspendWrites();
-            if (ended) {
-                finish();
-            } else if (pending != null) {
-                pending = null;
-                source.more();
+            responseChannel.suspendWrites();
+            if (streamEnded) {
+                completeStream();
+            } else if (pendingChunk != null) {
+                pendingChunk = null;
+                source.requestNextChunk();
             }
         } catch (IOException e) {
-            left();
+            onClientDisconnected();
         }
     }
 
     /** What is written last stays with the channel until it is flushed; for its reader it counts as one byte. */
-    private void lags(int left) {
-        source.lags(left);
-        if (!done) {
-            channel.resumeWrites();
+    private void reportUnwritten(int unwrittenBytes) {
+        source.onUnsentBytes(unwrittenBytes);
+        if (!finished) {
+            responseChannel.resumeWrites();
         }
     }
 
     @Override
-    public void refused(Ending cause, long retryAfter) {
-        tell(() -> answer(replies.refused(cause), retryAfter, Replies.End.REFUSED, cause));
+    public void sendRejection(AttemptEnd cause, long retryAfterNanos) {
+        post(() -> sendFixedResponse(
+                formatter.formatRejection(cause), retryAfterNanos, ResponseFormatter.ClientOutcome.REFUSED, cause));
     }
 
     @Override
-    public void failed(Ending cause) {
-        tell(() -> answer(replies.failed(cause), 0, Replies.End.FAILED, cause));
+    public void sendFailure(AttemptEnd cause) {
+        post(() -> sendFixedResponse(formatter.formatFailure(cause), 0, ResponseFormatter.ClientOutcome.FAILED, cause));
     }
 
-    private void answer(Replies.Reply reply, long retryAfter, Replies.End end, Ending cause) {
-        if (done) {
-            tooLate(end + " was to be said");
+    private void sendFixedResponse(
+            ResponseFormatter.FixedResponse response,
+            long retryAfterNanos,
+            ResponseFormatter.ClientOutcome clientOutcome,
+            AttemptEnd cause) {
+        if (finished) {
+            reportLateAnswer(clientOutcome + " was to be said");
             return;
         }
-        finished(end, reply.status(), cause);
-        write(exchange, reply, retryAfter);
+        finishAs(clientOutcome, response.status(), cause);
+        write(exchange, response, retryAfterNanos);
     }
 
     /** Sends a fixed response; with a time to come back if one is given, in nanoseconds. */
-    public static void write(HttpServerExchange exchange, Replies.Reply reply, long retryAfter) {
+    public static void write(
+            HttpServerExchange exchange, ResponseFormatter.FixedResponse response, long retryAfterNanos) {
         if (!exchange.isRequestComplete()) {
             // Undertow would first read all of a body that nobody wants, be it 60 MB.
             exchange.setPersistent(false);
-            LingeringClose.requestIsIncomplete(exchange);
+            LingeringClose.markRequestIncomplete(exchange);
             Connectors.terminateRequest(exchange);
         }
-        exchange.setStatusCode(reply.status());
-        if (retryAfter > 0) {
-            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, RetryAfter.seconds(retryAfter));
+        exchange.setStatusCode(response.status());
+        if (retryAfterNanos > 0) {
+            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, RetryAfterHeader.formatSeconds(retryAfterNanos));
         }
-        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, reply.contentType());
-        exchange.getResponseSender().send(reply.body());
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, response.contentType());
+        exchange.getResponseSender().send(response.body());
     }
 
-    private void finish() {
-        finished(Replies.End.SERVED, replies.servedStatus(), null);
+    private void completeStream() {
+        finishAs(ResponseFormatter.ClientOutcome.SERVED, formatter.backendStatus(), null);
         exchange.endExchange();
     }
 }
--- a/node/src/main/java/fawnlb/client/LingeringClose.java
+++ b/node/src/main/java/fawnlb/client/LingeringClose.java
@@ -1,6 +1,6 @@
 package fawnlb.client;
 
-import fawnlb.actor.Timers;
+import fawnlb.eventloop.Timers;
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.server.protocol.http.HttpServerConnection;
@@ -20,19 +20,19 @@
  */
 final class LingeringClose {
     /** How long the rest is read, in nanoseconds; as long as a whole body may take. */
-    private static final long MAX_LINGER = 2_000_000_000;
+    private static final long LINGER_TIMEOUT_NANOS = 2_000_000_000;
 
-    private static final int READ_SIZE = 16 * 1024;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
     /** What is read is dropped, so one buffer does for all. */
-    private static final ThreadLocal<ByteBuffer> DROPPED =
-            ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(READ_SIZE));
+    private static final ThreadLocal<ByteBuffer> DISCARD_BUFFER =
+            ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(READ_BUFFER_BYTES));
 
     private static final AttachmentKey<Boolean> REQUEST_INCOMPLETE = AttachmentKey.create(Boolean.class);
 
     private final HttpServerConnection connection;
     private final ConduitStreamSinkChannel sink;
     private final ConduitStreamSourceChannel source;
-    private Timers.Timer limit;
+    private Timers.Timer timeout;
 
     private LingeringClose(HttpServerConnection connection) {
         this.connection = connection;
@@ -42,12 +42,12 @@
     }
 
     /** Notes that the exchange is answered although a part of its request has not been read. */
-    static void requestIsIncomplete(HttpServerExchange exchange) {
+    static void markRequestIncomplete(HttpServerExchange exchange) {
         exchange.putAttachment(REQUEST_INCOMPLETE, true);
     }
 
     /** Whether the connection has to be closed in this way once the exchange is complete. */
-    static boolean isNeededBy(HttpServerExchange exchange) {
+    static boolean isRequiredFor(HttpServerExchange exchange) {
         return exchange.getAttachment(REQUEST_INCOMPLETE) != null;
     }
 
@@ -57,25 +57,25 @@
     }
 
     private void begin(Timers timers) {
-        PooledByteBuffer early = connection.getExtraBytes();
-        if (early != null) {
-            early.close();
+        PooledByteBuffer readAheadBuffer = connection.getExtraBytes();
+        if (readAheadBuffer != null) {
+            readAheadBuffer.close();
             connection.setExtraBytes(null);
         }
-        limit = timers.after(MAX_LINGER, this::close);
+        timeout = timers.schedule(LINGER_TIMEOUT_NANOS, this::close);
         try {
             sink.shutdownWrites();
         } catch (IOException e) {
             close();
             return;
         }
-        sink.setWriteListener(channel -> flush());
-        flush();
-        source.setReadListener(channel -> drop());
+        sink.setWriteListener(channel -> flushResponse());
+        flushResponse();
+        source.setReadListener(channel -> discardInput());
         source.resumeReads();
     }
 
-    private void flush() {
+    private void flushResponse() {
         try {
             if (sink.flush()) {
                 sink.suspendWrites();
@@ -87,10 +87,10 @@
         }
     }
 
-    private void drop() {
+    private void discardInput() {
         int count;
         try {
-            count = source.read(DROPPED.get().clear());
+            count = source.read(DISCARD_BUFFER.get().clear());
         } catch (IOException e) {
             count = -1;
         }
@@ -100,7 +100,7 @@
     }
 
     private void close() {
-        limit.cancel();
+        timeout.cancel();
         IoUtils.safeClose(connection);
     }
 }
--- a/node/src/main/java/fawnlb/client/Listener.java
+++ b/node/src/main/java/fawnlb/client/Listener.java
@@ -1,7 +1,7 @@
 package fawnlb.client;
 
-import fawnlb.actor.Guard;
-import fawnlb.actor.Timers;
+import fawnlb.eventloop.Timers;
+import fawnlb.eventloop.UncaughtErrorHandler;
 import fawnlb.metrics.Metrics;
 import fawnlb.metrics.Metrics.Metric;
 import java.io.Closeable;
@@ -20,71 +20,78 @@
  * Accepts clients on one address, on the I/O thread itself.
  *
  * <p>An accept can fail for a while (no descriptor, no memory for a socket, a connection reset while it waited). The
- * listener then tries again every {@link #PAUSE}, neither at once, which would keep the thread busy for as long as the
- * cause lasts, nor after a growing pause, through which clients would wait behind a cause that is gone.
+ * listener then tries again every {@link #ACCEPT_RETRY_DELAY_NANOS}, neither at once, which would keep the thread busy
+ * for as long as the cause lasts, nor after a growing pause, through which clients would wait behind a cause that is
+ * gone.
  */
 public final class Listener implements Closeable {
     /** How long the listener waits after a failed accept, in nanoseconds. */
-    static final long PAUSE = 50_000_000;
+    static final long ACCEPT_RETRY_DELAY_NANOS = 50_000_000;
     /** One turn accepts so many at most, so that a burst of clients does not keep the others from being read. */
-    static final int MAX_PER_TURN = 32;
+    static final int MAX_ACCEPTS_PER_EVENT = 32;
     /** A failing accept is logged once in so many nanoseconds. */
-    private static final long LOG_PAUSE = 10_000_000_000L;
+    private static final long FAILURE_LOG_INTERVAL_NANOS = 10_000_000_000L;
     /**
      * A planned end waits so long for an accept that keeps failing, in nanoseconds; then the socket closes over who
      * waits.
      */
-    private static final long MAX_CLOSING = 2_000_000_000L;
+    private static final long CLOSE_TIMEOUT_NANOS = 2_000_000_000L;
 
     private static final long NOT_BLOCKED = Long.MIN_VALUE;
     private static final Logger LOG = Logger.getLogger(Listener.class.getName());
 
     /** Accepts one socket, null if nobody waits. */
     @FunctionalInterface
-    interface Acceptor {
+    interface SocketAcceptor {
         SocketChannel accept() throws IOException;
     }
 
     /** Takes a new connection on the I/O thread. */
     @FunctionalInterface
-    public interface Taker {
+    public interface ConnectionHandler {
         /** Waited: for how long it may have been in the kernel's queue, with a request on it, in nanoseconds. */
-        void take(StreamConnection connection, long waited);
+        void onAccepted(StreamConnection connection, long queuedNanos);
     }
 
     /**
-     * Limits of one listener; {@code maxOpen}: connections that are accepted here and still open; {@code sendBuffer}:
-     * in bytes.
+     * Limits of one listener; {@code maxConnections}: connections that are accepted here and still open;
+     * {@code sendBufferBytes}: in bytes.
      */
-    public record Limits(int maxOpen, int backlog, int sendBuffer) {}
+    public record Limits(int maxConnections, int backlog, int sendBufferBytes) {}
 
     private final ServerSocketChannel channel;
-    private final Acceptor acceptor;
+    private final SocketAcceptor acceptor;
     private final Limits limits;
     private final Timers timers;
-    private final Taker taker;
+    private final ConnectionHandler connectionHandler;
     private ListeningSocket socket;
-    private int open;
-    private int failures;
-    private long loggedAt;
-    private boolean full;
+    private int openConnections;
+    private int unloggedFailures;
+    private long failureLoggedAtNanos;
+    private boolean atConnectionLimit;
     /** Since when somebody may wait in the kernel's queue, since nobody could be accepted. */
-    private long blockedSince = NOT_BLOCKED;
+    private long blockedSinceNanos = NOT_BLOCKED;
 
     private boolean closing;
 
     /** A listener that is bound and accepts nobody yet; each connection goes to the taker, on the I/O thread. */
-    public Listener(InetSocketAddress address, Limits limits, Timers timers, Taker taker) throws IOException {
-        this(bind(address, limits.backlog()), null, limits, timers, taker);
+    public Listener(InetSocketAddress address, Limits limits, Timers timers, ConnectionHandler connectionHandler)
+            throws IOException {
+        this(bind(address, limits.backlog()), null, limits, timers, connectionHandler);
     }
 
-    Listener(ServerSocketChannel channel, Acceptor acceptor, Limits limits, Timers timers, Taker taker) {
+    Listener(
+            ServerSocketChannel channel,
+            SocketAcceptor acceptor,
+            Limits limits,
+            Timers timers,
+            ConnectionHandler connectionHandler) {
         this.channel = channel;
         this.acceptor = acceptor == null ? channel::accept : acceptor;
         this.limits = limits;
         this.timers = timers;
-        this.taker = taker;
-        this.loggedAt = timers.now() - LOG_PAUSE;
+        this.connectionHandler = connectionHandler;
+        this.failureLoggedAtNanos = timers.now() - FAILURE_LOG_INTERVAL_NANOS;
     }
 
     static ServerSocketChannel bind(InetSocketAddress address, int backlog) throws IOException {
@@ -104,7 +111,9 @@
     public void start(XnioIoThread thread) throws IOException {
         // What it throws would end the thread that carries all connections.
         socket = ListeningSocket.register(
-                thread, channel, () -> Guard.run(this::acceptWaiting, "a connection could not be taken", () -> {}));
+                thread,
+                channel,
+                () -> UncaughtErrorHandler.run(this::onAcceptable, "a connection could not be taken", () -> {}));
         socket.resumeAccepts();
     }
 
@@ -113,22 +122,22 @@
         return (InetSocketAddress) channel.socket().getLocalSocketAddress();
     }
 
-    private void acceptWaiting() {
+    private void onAcceptable() {
         if (closing) {
             return;
         }
-        timers.handlingEvent();
-        Result result = accept(MAX_PER_TURN);
-        if (result == Result.FULL) {
-            full = true;
+        timers.onSocketEvent();
+        AcceptResult result = accept(MAX_ACCEPTS_PER_EVENT);
+        if (result == AcceptResult.AT_CONNECTION_LIMIT) {
+            atConnectionLimit = true;
             socket.suspendAccepts();
-        } else if (result == Result.FAILED) {
+        } else if (result == AcceptResult.FAILED) {
             socket.suspendAccepts();
-            timers.after(PAUSE, this::resume);
+            timers.schedule(ACCEPT_RETRY_DELAY_NANOS, this::resumeAccepts);
         }
     }
 
-    private void resume() {
+    private void resumeAccepts() {
         if (!closing && channel.isOpen()) {
             socket.resumeAccepts();
         }
@@ -137,78 +146,81 @@
     /**
      * How a run of accepts ended: nobody waits, there may be more, no room for another connection, or an accept failed.
      */
-    private enum Result {
-        NOBODY_WAITS,
-        MORE,
-        FULL,
+    private enum AcceptResult {
+        QUEUE_EMPTY,
+        BATCH_COMPLETE,
+        AT_CONNECTION_LIMIT,
         FAILED
     }
 
-    private Result accept(int max) {
-        Result result = acceptUpTo(max);
-        if (result == Result.NOBODY_WAITS) {
-            blockedSince = NOT_BLOCKED;
-        } else if (blockedSince == NOT_BLOCKED) {
-            blockedSince = timers.now() - timers.eventAge();
+    private AcceptResult accept(int maxAccepts) {
+        AcceptResult result = acceptUpTo(maxAccepts);
+        if (result == AcceptResult.QUEUE_EMPTY) {
+            blockedSinceNanos = NOT_BLOCKED;
+        } else if (blockedSinceNanos == NOT_BLOCKED) {
+            blockedSinceNanos = timers.now() - timers.maxEventAgeNanos();
         }
         return result;
     }
 
-    private Result acceptUpTo(int max) {
-        for (int i = 0; i < max; i++) {
-            if (open >= limits.maxOpen()) {
-                return Result.FULL;
+    private AcceptResult acceptUpTo(int maxAccepts) {
+        for (int i = 0; i < maxAccepts; i++) {
+            if (openConnections >= limits.maxConnections()) {
+                return AcceptResult.AT_CONNECTION_LIMIT;
             }
             SocketChannel accepted;
             try {
                 accepted = acceptor.accept();
             } catch (IOException e) {
-                logFailure(e);
-                return Result.FAILED;
+                recordFailure(e);
+                return AcceptResult.FAILED;
             }
             if (accepted == null) {
-                return Result.NOBODY_WAITS;
+                return AcceptResult.QUEUE_EMPTY;
             }
-            take(accepted);
+            openConnection(accepted);
         }
-        return Result.MORE;
+        return AcceptResult.BATCH_COMPLETE;
     }
 
-    private void take(SocketChannel accepted) {
+    private void openConnection(SocketChannel accepted) {
         StreamConnection connection;
         try {
             accepted.configureBlocking(false);
             accepted.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            accepted.setOption(StandardSocketOptions.SO_SNDBUF, limits.sendBuffer());
-            connection = socket.connection(accepted, this::connectionClosed);
+            accepted.setOption(StandardSocketOptions.SO_SNDBUF, limits.sendBufferBytes());
+            connection = socket.openConnection(accepted, this::onConnectionClosed);
         } catch (IOException e) {
             // The client has gone meanwhile, or its socket can't be used.
             LOG.fine(() -> "an accepted connection could not be used: " + e.getMessage());
             IoUtils.safeClose(accepted);
             return;
         }
-        open++;
-        taker.take(
-                connection, Math.max(timers.eventAge(), blockedSince == NOT_BLOCKED ? 0 : timers.now() - blockedSince));
+        openConnections++;
+        connectionHandler.onAccepted(
+                connection,
+                Math.max(
+                        timers.maxEventAgeNanos(),
+                        blockedSinceNanos == NOT_BLOCKED ? 0 : timers.now() - blockedSinceNanos));
     }
 
-    private void connectionClosed() {
-        open--;
-        if (full) {
-            full = false;
-            resume();
+    private void onConnectionClosed() {
+        openConnections--;
+        if (atConnectionLimit) {
+            atConnectionLimit = false;
+            resumeAccepts();
         }
     }
 
-    private void logFailure(IOException e) {
-        failures++;
-        Metrics.count(Metric.ACCEPT_FAILURES, "accept");
-        long now = timers.now();
-        if (now - loggedAt >= LOG_PAUSE) {
-            LOG.warning("accept on " + address() + " failed, " + failures + " times since the last such line: "
+    private void recordFailure(IOException e) {
+        unloggedFailures++;
+        Metrics.increment(Metric.ACCEPT_FAILURES, "accept");
+        long nowNanos = timers.now();
+        if (nowNanos - failureLoggedAtNanos >= FAILURE_LOG_INTERVAL_NANOS) {
+            LOG.warning("accept on " + address() + " failed, " + unloggedFailures + " times since the last such line: "
                     + e.getMessage());
-            loggedAt = now;
-            failures = 0;
+            failureLoggedAtNanos = nowNanos;
+            unloggedFailures = 0;
         }
     }
 
@@ -216,24 +228,26 @@
      * Accepts whoever has connected by then, and closes the socket in the same turn of the I/O thread, so that nobody
      * who waits in the kernel's queue is reset. To be called on the I/O thread.
      *
-     * @param closed runs on the I/O thread when the socket is closed
+     * @param onClosed runs on the I/O thread when the socket is closed
      */
-    public void closeWhenNobodyWaits(Runnable closed) {
+    public void closeGracefully(Runnable onClosed) {
         closing = true;
         socket.suspendAccepts();
         socket.deregister();
-        closeWhenNobodyWaits(timers.now() + MAX_CLOSING, closed);
+        closeGracefully(timers.now() + CLOSE_TIMEOUT_NANOS, onClosed);
     }
 
-    private void closeWhenNobodyWaits(long latest, Runnable closed) {
+    private void closeGracefully(long deadlineNanos, Runnable onClosed) {
         // A channel that is still registered would be closed only when the thread looks at its sockets the next time.
-        boolean late = timers.now() >= latest;
-        Result result = channel.isRegistered() ? Result.MORE : accept(limits.backlog());
-        if (result == Result.NOBODY_WAITS || late) {
+        boolean deadlinePassed = timers.now() >= deadlineNanos;
+        AcceptResult result = channel.isRegistered() ? AcceptResult.BATCH_COMPLETE : accept(limits.backlog());
+        if (result == AcceptResult.QUEUE_EMPTY || deadlinePassed) {
             close();
-            closed.run();
+            onClosed.run();
         } else {
-            timers.after(result == Result.MORE ? 1 : PAUSE, () -> closeWhenNobodyWaits(latest, closed));
+            timers.schedule(
+                    result == AcceptResult.BATCH_COMPLETE ? 1 : ACCEPT_RETRY_DELAY_NANOS,
+                    () -> closeGracefully(deadlineNanos, onClosed));
         }
     }
 
--- a/node/src/main/java/fawnlb/client/Listeners.java
+++ b/node/src/main/java/fawnlb/client/ListenerGroup.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Executor;
 
 /** The sockets on which a node accepts its clients. */
-public final class Listeners {
+public final class ListenerGroup {
     private final List<Listener> listeners = new ArrayList<>();
 
     public void add(Listener listener) {
@@ -15,22 +15,22 @@
     }
 
     /** Where they listen, in the order in which they were added. */
-    public InetSocketAddress address(int which) {
-        return listeners.get(which).address();
+    public InetSocketAddress addressAt(int index) {
+        return listeners.get(index).address();
     }
 
     /**
      * Accepts whoever has connected and then nobody any more; returns when all sockets are closed and who was accepted
      * has been handed on.
      *
-     * @param thread runs tasks on the I/O thread
+     * @param ioThread runs tasks on the I/O thread
      */
-    public void close(Executor thread) throws InterruptedException {
-        CountDownLatch open = new CountDownLatch(listeners.size());
+    public void closeGracefully(Executor ioThread) throws InterruptedException {
+        CountDownLatch openListeners = new CountDownLatch(listeners.size());
         for (Listener listener : listeners) {
-            thread.execute(() -> listener.closeWhenNobodyWaits(open::countDown));
+            ioThread.execute(() -> listener.closeGracefully(openListeners::countDown));
         }
-        open.await();
+        openListeners.await();
     }
 
     /** Closes over whoever waits to be accepted. */
--- a/node/src/main/java/fawnlb/client/Replies.java
+++ b/node/src/main/java/fawnlb/client/ResponseFormatter.java
@@ -1,15 +1,15 @@
 package fawnlb.client;
 
-import fawnlb.stream.Ending;
+import fawnlb.stream.AttemptEnd;
 import io.undertow.util.StatusCodes;
 
 /** How a front words its answers, and what it wants to hear at the end of each. */
-public interface Replies {
+public interface ResponseFormatter {
     /** A fixed response. */
-    record Reply(int status, String contentType, String body) {}
+    record FixedResponse(int status, String contentType, String body) {}
 
     /** How an exchange ended, as the client saw it. */
-    enum End {
+    enum ClientOutcome {
         SERVED,
         REFUSED,
         FAILED,
@@ -18,30 +18,30 @@
     }
 
     /** The content type of an answer that a backend gave. */
-    String servedType();
+    String backendContentType();
 
     /** The status of an answer that a backend gave. */
-    default int servedStatus() {
+    default int backendStatus() {
         return 200;
     }
 
-    Reply refused(Ending cause);
+    FixedResponse formatRejection(AttemptEnd cause);
 
-    Reply failed(Ending cause);
+    FixedResponse formatFailure(AttemptEnd cause);
 
     /** The status of a flow that failed: whether its last attempt said nothing in time, or something wrong. */
-    static int failedStatus(Ending cause) {
-        return cause != null && cause.isLate() ? StatusCodes.GATEWAY_TIME_OUT : StatusCodes.BAD_GATEWAY;
+    static int failureStatus(AttemptEnd cause) {
+        return cause != null && cause.isTimeout() ? StatusCodes.GATEWAY_TIME_OUT : StatusCodes.BAD_GATEWAY;
     }
 
     /**
      * What a stream that breaks is closed with, in place of its last events; empty where the interface has no words for
      * it.
      */
-    default String broken(Ending cause) {
+    default String formatStreamError(AttemptEnd cause) {
         return "";
     }
 
     /** Told once, for a front that keeps records; status 0 if none was sent. */
-    default void finished(End end, int status, Ending cause) {}
+    default void onExchangeFinished(ClientOutcome outcome, int status, AttemptEnd cause) {}
 }
--- a/node/src/main/java/fawnlb/config/SettingsParser.java
+++ b/node/src/main/java/fawnlb/config/SettingsParser.java
@@ -1,17 +1,17 @@
 package fawnlb.config;
 
-import fawnlb.decision.Balancer.Connections;
-import fawnlb.decision.Balancer.Costs;
-import fawnlb.decision.Balancer.Discovery;
-import fawnlb.decision.Balancer.Effect;
-import fawnlb.decision.Balancer.Group;
-import fawnlb.decision.Balancer.Limits;
-import fawnlb.decision.Balancer.Names;
-import fawnlb.decision.Balancer.Reports;
-import fawnlb.decision.Balancer.RequestClass;
-import fawnlb.decision.Balancer.Rules;
-import fawnlb.decision.Balancer.Settings;
-import fawnlb.decision.Balancer.Tenant;
+import fawnlb.decision.LoadBalancer.ConnectionTimeouts;
+import fawnlb.decision.LoadBalancer.Costs;
+import fawnlb.decision.LoadBalancer.DiscoveryMode;
+import fawnlb.decision.LoadBalancer.EndpointLifecycle;
+import fawnlb.decision.LoadBalancer.Idempotency;
+import fawnlb.decision.LoadBalancer.IdempotencyScope;
+import fawnlb.decision.LoadBalancer.Limits;
+import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancer.LoadReporting;
+import fawnlb.decision.LoadBalancer.Names;
+import fawnlb.decision.LoadBalancer.RequestClass;
+import fawnlb.decision.LoadBalancer.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -19,30 +19,31 @@
 import java.util.function.Function;
 
 /**
- * Reads the start settings, {@code path=value} lines. Unknown paths are skipped. Missing or unreadable ones get the
+ * Reads the start settings, {@code prefix=value} lines. Unknown paths are skipped. Missing or unreadable ones get the
  * careful default given here: nothing is allowed that was not said, a class is unsafe, drains count at once, and a cold
  * replica has a tenth of its capacity for half a minute.
  */
 public final class SettingsParser {
-    private static final long SECOND = 1_000_000_000L;
-    private static final int MAX_ITEMS = 10_000;
-    private static final Map<String, Effect> EFFECTS =
-            Map.of("SAFE", Effect.SAFE, "KEYED", Effect.KEYED, "UNSAFE", Effect.UNSAFE);
-    private static final Map<String, Group> GROUPS = Map.of("ALL", Group.ALL, "ZONE", Group.ZONE, "CELL", Group.CELL);
-    private static final Map<String, Reports> REPORTS = Map.of(
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final int MAX_LIST_ITEMS = 10_000;
+    private static final Map<String, Idempotency> EFFECTS = Map.of(
+            "SAFE", Idempotency.IDEMPOTENT, "KEYED", Idempotency.IDEMPOTENCY_KEY, "UNSAFE", Idempotency.NOT_IDEMPOTENT);
+    private static final Map<String, IdempotencyScope> GROUPS =
+            Map.of("ALL", IdempotencyScope.ALL, "ZONE", IdempotencyScope.ZONE, "CELL", IdempotencyScope.CELL);
+    private static final Map<String, LoadReporting> REPORTS = Map.of(
             "NONE",
-            Reports.NONE,
+            LoadReporting.NONE,
             "ANSWER",
-            Reports.ANSWERS,
+            LoadReporting.WITH_RESPONSES,
             "ANSWERS",
-            Reports.ANSWERS,
+            LoadReporting.WITH_RESPONSES,
             "PROBE",
-            Reports.PROBES,
+            LoadReporting.WITH_HEALTH_CHECKS,
             "PROBES",
-            Reports.PROBES);
+            LoadReporting.WITH_HEALTH_CHECKS);
 
     private final Map<String, String> values = new HashMap<>();
-    private final List<String> complaints = new ArrayList<>();
+    private final List<String> warnings = new ArrayList<>();
 
     public SettingsParser(Map<String, String> pairs) {
         values.putAll(pairs);
@@ -50,112 +51,121 @@
 
     public SettingsParser(String pairs) {
         for (String line : pairs.split("\n")) {
-            int at = line.indexOf('=');
-            if (at > 0) {
-                values.put(line.substring(0, at).trim(), line.substring(at + 1).trim());
+            int separator = line.indexOf('=');
+            if (separator > 0) {
+                values.put(
+                        line.substring(0, separator).trim(),
+                        line.substring(separator + 1).trim());
             }
         }
     }
 
     /** A plain line for each value that could not be read. */
-    public List<String> complaints() {
-        return complaints;
+    public List<String> warnings() {
+        return warnings;
     }
 
-    public Settings settings() {
+    public LoadBalancerSettings parse() {
         List<RequestClass> classes = new ArrayList<>();
-        List<Double> perThousand = doubles("family-info.aim-us-per-1000-prompt-tokens");
-        List<Double> tokenAims = doubles("family-info.token-aim-ns");
-        int count = Math.min(MAX_ITEMS, whole("profiles.count", 0));
-        for (int i = 0; i < count; i++) {
-            String at = "profiles." + i + ".";
-            long deadline = time(at + "deadline-ns", SECOND);
+        List<Double> firstTokenObjectivePer1000Micros = readDoubles("family-info.aim-us-per-1000-prompt-tokens");
+        List<Double> tokenObjectives = readDoubles("family-info.token-aim-ns");
+        int classCount = Math.min(MAX_LIST_ITEMS, readInt("profiles.count", 0));
+        for (int i = 0; i < classCount; i++) {
+            String prefix = "profiles." + i + ".";
+            long deadline = readLong(prefix + "deadline-ns", NANOS_PER_SECOND);
             classes.add(new RequestClass(
-                    word(at + "effect", EFFECTS, "UNSAFE"),
-                    word(at + "group", GROUPS, "CELL"),
-                    time(at + "window-ns", 0),
-                    time(at + "on-time-ns", deadline),
-                    i < perThousand.size() ? perThousand.get(i) : 0,
+                    readEnum(prefix + "effect", EFFECTS, "UNSAFE"),
+                    readEnum(prefix + "group", GROUPS, "CELL"),
+                    readLong(prefix + "window-ns", 0),
+                    readLong(prefix + "on-time-ns", deadline),
+                    i < firstTokenObjectivePer1000Micros.size() ? firstTokenObjectivePer1000Micros.get(i) : 0,
                     deadline,
-                    i < tokenAims.size() ? tokenAims.get(i).longValue() : 0,
-                    real(at + "credit", 1),
-                    real(at + "late-worth", 0),
-                    truth(at + "stream")));
+                    i < tokenObjectives.size() ? tokenObjectives.get(i).longValue() : 0,
+                    readDouble(prefix + "credit", 1),
+                    readDouble(prefix + "late-worth", 0),
+                    readBoolean(prefix + "stream")));
         }
         List<Tenant> tenants = new ArrayList<>();
-        int orgs = Math.min(MAX_ITEMS, whole("orgs.count", 0));
-        for (int i = 0; i < orgs; i++) {
-            tenants.add(new Tenant(real("orgs." + i + ".fraction", 0), real("orgs." + i + ".quota-per-s", 0)));
+        int tenantCount = Math.min(MAX_LIST_ITEMS, readInt("orgs.count", 0));
+        for (int i = 0; i < tenantCount; i++) {
+            tenants.add(
+                    new Tenant(readDouble("orgs." + i + ".fraction", 0), readDouble("orgs." + i + ".quota-per-s", 0)));
         }
         Limits limits = new Limits(
-                whole("limits.most-tries", 1),
-                whole("limits.most-held", MAX_ITEMS),
-                truth("limits.second-copies"),
-                truth("limits.may-cancel"),
-                truth("limits.probing"),
-                truth("limits.peers"),
-                truth("limits.retry-after") ? time("limits.max-retry-after-ns", 0) : 0);
-        Rules rules = new Rules(
-                time("rules.drain-grace-ns", 0),
-                time("rules.ask-within-ns", 10 * SECOND),
-                real("rules.cold-from", 0.1),
-                time("rules.cold-ns", 30 * SECOND),
-                real("rules.tip-multiple", 1),
-                time("rules.fall-ns", SECOND));
-        Discovery discovery = "subscribe".equals(values.get("registry-mode")) ? Discovery.ASKED : Discovery.PUSHED;
-        Reports reports = word("report.how", REPORTS, "NONE");
-        String fields = values.getOrDefault("report.fields", "");
-        return new Settings(
-                whole("my-number", 0),
-                Math.max(1, whole("replicas-of-me", 1)),
-                whole("az", 0),
-                time("tick-ns", 1_000_000),
-                truth("family-info.resume"),
+                readInt("limits.most-tries", 1),
+                readInt("limits.most-held", MAX_LIST_ITEMS),
+                readBoolean("limits.second-copies"),
+                readBoolean("limits.may-cancel"),
+                readBoolean("limits.probing"),
+                readBoolean("limits.peers"),
+                readBoolean("limits.retry-after") ? readLong("limits.max-retry-after-ns", 0) : 0);
+        EndpointLifecycle rules = new EndpointLifecycle(
+                readLong("rules.drain-grace-ns", 0),
+                readLong("rules.ask-within-ns", 10 * NANOS_PER_SECOND),
+                readDouble("rules.cold-from", 0.1),
+                readLong("rules.cold-ns", 30 * NANOS_PER_SECOND),
+                readDouble("rules.tip-multiple", 1),
+                readLong("rules.fall-ns", NANOS_PER_SECOND));
+        DiscoveryMode discovery =
+                "subscribe".equals(values.get("registry-mode")) ? DiscoveryMode.WATCHED : DiscoveryMode.PUSHED;
+        LoadReporting reports = readEnum("report.how", REPORTS, "NONE");
+        String reportFields = values.getOrDefault("report.fields", "");
+        return new LoadBalancerSettings(
+                readInt("my-number", 0),
+                Math.max(1, readInt("replicas-of-me", 1)),
+                readInt("az", 0),
+                readLong("tick-ns", 1_000_000),
+                readBoolean("family-info.resume"),
                 discovery,
                 reports,
-                fields.isEmpty() ? List.of() : List.of(fields.split(",")),
+                reportFields.isEmpty() ? List.of() : List.of(reportFields.split(",")),
                 List.copyOf(classes),
                 List.copyOf(tenants),
                 limits,
                 rules,
-                new Costs(real("costs.cross-zone", 0), real("costs.waste", 0)),
-                new Names(named("profiles.", count), named("orgs.", orgs), list("localities"), list("host-types")),
-                new Connections(
-                        time("limits.connect-timeout-ns", SECOND / 4), time("limits.conn-idle-ns", 15 * SECOND)));
+                new Costs(readDouble("costs.cross-zone", 0), readDouble("costs.waste", 0)),
+                new Names(
+                        readNames("profiles.", classCount),
+                        readNames("orgs.", tenantCount),
+                        readList("localities"),
+                        readList("host-types")),
+                new ConnectionTimeouts(
+                        readLong("limits.connect-timeout-ns", NANOS_PER_SECOND / 4),
+                        readLong("limits.conn-idle-ns", 15 * NANOS_PER_SECOND)));
     }
 
-    private List<String> named(String path, int count) {
+    private List<String> readNames(String prefix, int count) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            names.add(values.getOrDefault(path + i + ".name", ""));
+            names.add(values.getOrDefault(prefix + i + ".name", ""));
         }
         return List.copyOf(names);
     }
 
-    private List<String> list(String path) {
+    private List<String> readList(String path) {
         String text = values.getOrDefault(path, "");
         return text.isEmpty() ? List.of() : List.of(text.split(","));
     }
 
-    private <T> T read(String path, T missing, Function<String, T> reader) {
+    private <T> T readOrDefault(String path, T defaultValue, Function<String, T> reader) {
         String value = values.get(path);
         if (value == null || value.isEmpty()) {
-            return missing;
+            return defaultValue;
         }
         try {
             return reader.apply(value);
         } catch (IllegalArgumentException e) {
-            complaints.add("fawnlb: setting " + path + " cannot be read: '" + value + "'; using " + missing);
-            return missing;
+            warnings.add("fawnlb: setting " + path + " cannot be read: '" + value + "'; using " + defaultValue);
+            return defaultValue;
         }
     }
 
-    private int whole(String path, int missing) {
-        return (int) Math.min(Integer.MAX_VALUE, time(path, missing));
+    private int readInt(String path, int defaultValue) {
+        return (int) Math.min(Integer.MAX_VALUE, readLong(path, defaultValue));
     }
 
-    private long time(String path, long missing) {
-        return read(path, missing, text -> {
+    private long readLong(String path, long defaultValue) {
+        return readOrDefault(path, defaultValue, text -> {
             long value = Long.parseLong(text);
             if (value < 0) {
                 throw new NumberFormatException(text);
@@ -164,11 +174,11 @@
         });
     }
 
-    private double real(String path, double missing) {
-        return read(path, missing, SettingsParser::finite);
+    private double readDouble(String path, double defaultValue) {
+        return readOrDefault(path, defaultValue, SettingsParser::parseFiniteDouble);
     }
 
-    private static double finite(String text) {
+    private static double parseFiniteDouble(String text) {
         double value = Double.parseDouble(text);
         if (!Double.isFinite(value) || value < 0) {
             throw new NumberFormatException(text);
@@ -176,27 +186,27 @@
         return value;
     }
 
-    private boolean truth(String path) {
-        return read(path, false, text -> switch (text) {
+    private boolean readBoolean(String path) {
+        return readOrDefault(path, false, text -> switch (text) {
             case "true" -> true;
             case "false" -> false;
             default -> throw new IllegalArgumentException(text);
         });
     }
 
-    private List<Double> doubles(String path) {
-        return read(path, List.of(), text -> {
-            List<Double> out = new ArrayList<>();
+    private List<Double> readDoubles(String path) {
+        return readOrDefault(path, List.of(), text -> {
+            List<Double> values = new ArrayList<>();
             for (String item : text.split(",")) {
-                out.add(finite(item));
+                values.add(parseFiniteDouble(item));
             }
-            return out;
+            return values;
         });
     }
 
-    /** The value that a word stands for, whatever its case; {@code missing}: the word that holds without one. */
-    private <T> T word(String path, Map<String, T> words, String missing) {
-        String word = read(path, missing, text -> {
+    /** The value that a word stands for, whatever its case; {@code defaultValue}: the word that holds without one. */
+    private <T> T readEnum(String path, Map<String, T> words, String defaultValue) {
+        String word = readOrDefault(path, defaultValue, text -> {
             for (String known : words.keySet()) {
                 if (known.equalsIgnoreCase(text)) {
                     return known;
--- a/node/src/main/java/fawnlb/contract/Budget.java
+++ b/node/src/main/java/fawnlb/contract/Budget.java
@@ -2,44 +2,44 @@
 
 /** A team's requests and tokens per window. A window starts with the first request after the one before. */
 public final class Budget {
-    private final long mostRequests;
-    private final long mostTokens;
-    private final long window;
-    private long start = Long.MIN_VALUE;
-    private long requests;
-    private long tokens;
+    private final long maxRequests;
+    private final long maxTokens;
+    private final long windowNanos;
+    private long windowStartNanos = Long.MIN_VALUE;
+    private long usedRequests;
+    private long usedTokens;
 
-    public Budget(long mostRequests, long mostTokens, long window) {
-        this.mostRequests = mostRequests;
-        this.mostTokens = mostTokens;
-        this.window = window;
+    public Budget(long maxRequests, long maxTokens, long windowNanos) {
+        this.maxRequests = maxRequests;
+        this.maxTokens = maxTokens;
+        this.windowNanos = windowNanos;
     }
 
     /** Books a request with the tokens that it may take; 0 if it fits, else how long until it may. */
-    public long book(long now, long wanted) {
-        if (start == Long.MIN_VALUE || now - start >= window) {
-            start = now;
-            requests = 0;
-            tokens = 0;
+    public long reserve(long nowNanos, long estimatedTokens) {
+        if (windowStartNanos == Long.MIN_VALUE || nowNanos - windowStartNanos >= windowNanos) {
+            windowStartNanos = nowNanos;
+            usedRequests = 0;
+            usedTokens = 0;
         }
-        if (requests + 1 > mostRequests || tokens + wanted > mostTokens) {
-            return Math.max(1, start + window - now);
+        if (usedRequests + 1 > maxRequests || usedTokens + estimatedTokens > maxTokens) {
+            return Math.max(1, windowStartNanos + windowNanos - nowNanos);
         }
-        requests++;
-        tokens += wanted;
+        usedRequests++;
+        usedTokens += estimatedTokens;
         return 0;
     }
 
     /** Whether a request of so many tokens could ever fit. */
-    public boolean holds(long wanted) {
-        return mostRequests > 0 && wanted <= mostTokens;
+    public boolean fitsWindow(long estimatedTokens) {
+        return maxRequests > 0 && estimatedTokens <= maxTokens;
     }
 
-    /** Corrects a booking made at {@code bookedAt} to the tokens that were taken. */
-    public void settle(long bookedAt, long booked, long taken) {
+    /** Corrects a booking made at {@code reservedAtNanos} to the tokens that were taken. */
+    public void settle(long reservedAtNanos, long reservedTokens, long actualTokens) {
         // A booking of an earlier window went with it.
-        if (bookedAt >= start && start != Long.MIN_VALUE) {
-            tokens = Math.max(0, tokens + taken - booked);
+        if (reservedAtNanos >= windowStartNanos && windowStartNanos != Long.MIN_VALUE) {
+            usedTokens = Math.max(0, usedTokens + actualTokens - reservedTokens);
         }
     }
 }
--- a/node/src/main/java/fawnlb/discovery/Member.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveredEndpoint.java
@@ -1,21 +1,21 @@
 package fawnlb.discovery;
 
-import fawnlb.decision.Balancer.Phase;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
 
 /** A backend as discovery lists it. */
-public record Member(
+public record DiscoveredEndpoint(
         String id,
         String host,
         int port,
         String zone,
         String kind,
         int cell,
-        Phase phase,
+        EndpointPhase phase,
         double size,
         long upSinceMillis) {
 
     /** The same number at every node: a backend's place on the ring comes from it. */
-    public long number() {
+    public long numericId() {
         int dash = id.lastIndexOf('-');
         if (id.substring(dash + 1).matches("[0-9a-f]{8}")) {
             return Long.parseLong(id.substring(dash + 1), 16);
--- a/node/src/main/java/fawnlb/discovery/ListReader.java
+++ b/node/src/main/java/fawnlb/discovery/WatchEventReader.java
@@ -12,11 +12,11 @@
  * indented over many; a blank line, between two objects, is a heartbeat. Within an object a blank line says that the
  * rest of it was lost.
  */
-final class ListReader {
+final class WatchEventReader {
     /** What stands for a blank line among the objects. */
     static final String HEARTBEAT = "";
 
-    private final int maxBytes;
+    private final int maxObjectBytes;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     private int depth;
     private boolean inString;
@@ -24,24 +24,24 @@
     private boolean lineIsBlank = true;
 
     /** Objects longer than this are errors. */
-    ListReader(int maxBytes) {
-        this.maxBytes = maxBytes;
+    WatchEventReader(int maxObjectBytes) {
+        this.maxObjectBytes = maxObjectBytes;
     }
 
     /** The objects and heartbeats that end within these bytes, in their order. */
-    List<String> feed(ByteBuffer bytes) throws IOException {
-        List<String> found = new ArrayList<>();
+    List<String> read(ByteBuffer bytes) throws IOException {
+        List<String> events = new ArrayList<>();
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
             if (next == '\n') {
-                lineEnds(found);
+                onLineEnd(events);
             } else if (depth == 0) {
-                between(next);
+                readBetweenObjects(next);
             } else {
-                within(next, found);
+                readWithinObject(next, events);
             }
         }
-        return found;
+        return events;
     }
 
     /** Whether an object has begun and not ended. */
@@ -49,17 +49,17 @@
         return depth > 0;
     }
 
-    private void lineEnds(List<String> found) throws IOException {
+    private void onLineEnd(List<String> events) throws IOException {
         if (inString || depth > 0 && lineIsBlank) {
             throw new IOException("an object that breaks off");
         }
         if (depth == 0 && lineIsBlank) {
-            found.add(HEARTBEAT);
+            events.add(HEARTBEAT);
         }
         lineIsBlank = true;
     }
 
-    private void between(byte next) throws IOException {
+    private void readBetweenObjects(byte next) throws IOException {
         if (isBlank(next)) {
             return;
         }
@@ -72,9 +72,9 @@
         object.write(next);
     }
 
-    private void within(byte next, List<String> found) throws IOException {
-        if (object.size() >= maxBytes) {
-            throw new IOException("object longer than " + maxBytes + " bytes");
+    private void readWithinObject(byte next, List<String> events) throws IOException {
+        if (object.size() >= maxObjectBytes) {
+            throw new IOException("object longer than " + maxObjectBytes + " bytes");
         }
         object.write(next);
         lineIsBlank &= isBlank(next);
@@ -86,7 +86,7 @@
         } else if (next == '{' || next == '[') {
             depth++;
         } else if ((next == '}' || next == ']') && --depth == 0) {
-            found.add(object.toString(StandardCharsets.UTF_8));
+            events.add(object.toString(StandardCharsets.UTF_8));
             object.reset();
         }
     }
--- a/node/src/main/java/fawnlb/actor/Mailbox.java
+++ b/node/src/main/java/fawnlb/eventloop/Mailbox.java
@@ -1,4 +1,4 @@
-package fawnlb.actor;
+package fawnlb.eventloop;
 
 import fawnlb.metrics.Metrics;
 import fawnlb.metrics.Metrics.Metric;
@@ -13,19 +13,19 @@
  */
 public final class Mailbox {
     /** So many messages run in one go; then other actors have their turn. */
-    private static final int TURN = 64;
+    private static final int MAX_MESSAGES_PER_TURN = 64;
 
     private final Executor executor;
-    private final int bound;
+    private final int capacity;
     private final ConcurrentLinkedQueue<Message> messages = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger size = new AtomicInteger();
-    private final AtomicBoolean scheduled = new AtomicBoolean();
+    private final AtomicInteger queuedMessages = new AtomicInteger();
+    private final AtomicBoolean turnScheduled = new AtomicBoolean();
 
-    private record Message(Runnable run, Runnable failed) {}
+    private record Message(Runnable task, Runnable onFailure) {}
 
-    public Mailbox(Executor executor, int bound) {
+    public Mailbox(Executor executor, int capacity) {
         this.executor = executor;
-        this.bound = bound;
+        this.capacity = capacity;
     }
 
     /**
@@ -34,8 +34,8 @@
      * requests that are open, timers, members.
      */
     public void tellAlways(Runnable message) {
-        size.incrementAndGet();
-        add(message, () -> {});
+        queuedMessages.incrementAndGet();
+        enqueue(message, () -> {});
     }
 
     /** Leaves a message; false, and nothing left, if the mailbox is full. */
@@ -47,50 +47,50 @@
      * The same for a message that somebody waits for the outcome of. Failed: runs in its place if the message throws,
      * which nobody expects; whoever waits must hear of it all the same.
      */
-    public boolean tell(Runnable message, Runnable failed) {
-        if (size.incrementAndGet() > bound) {
-            size.decrementAndGet();
-            Metrics.count(Metric.MESSAGES_DROPPED, "mailbox_full");
+    public boolean tell(Runnable message, Runnable onFailure) {
+        if (queuedMessages.incrementAndGet() > capacity) {
+            queuedMessages.decrementAndGet();
+            Metrics.increment(Metric.MESSAGES_DROPPED, "mailbox_full");
             return false;
         }
-        add(message, failed);
+        enqueue(message, onFailure);
         return true;
     }
 
-    private void add(Runnable message, Runnable failed) {
-        messages.add(new Message(message, failed));
-        schedule();
+    private void enqueue(Runnable message, Runnable onFailure) {
+        messages.add(new Message(message, onFailure));
+        scheduleTurn();
     }
 
     /**
      * Leaves a message that somebody waits for the outcome of. Failed: runs in its place if it throws, and at once if
      * the mailbox is full, so that no one waits for a message that was never left.
      */
-    public void tellOrFail(Runnable message, Runnable failed) {
-        if (!tell(message, failed)) {
-            Guard.run(failed, "message failed for want of room", () -> {});
+    public void tellOrFail(Runnable message, Runnable onFailure) {
+        if (!tell(message, onFailure)) {
+            UncaughtErrorHandler.run(onFailure, "message failed for want of room", () -> {});
         }
     }
 
-    private void schedule() {
-        if (scheduled.compareAndSet(false, true)) {
-            executor.execute(this::turn);
+    private void scheduleTurn() {
+        if (turnScheduled.compareAndSet(false, true)) {
+            executor.execute(this::runTurn);
         }
     }
 
-    private void turn() {
-        for (int i = 0; i < TURN; i++) {
+    private void runTurn() {
+        for (int i = 0; i < MAX_MESSAGES_PER_TURN; i++) {
             Message message = messages.poll();
             if (message == null) {
                 break;
             }
-            size.decrementAndGet();
+            queuedMessages.decrementAndGet();
             // One bad message must not stop this actor, or the thread that all actors share.
-            Guard.run(message.run(), "message failed", message.failed());
+            UncaughtErrorHandler.run(message.task(), "message failed", message.onFailure());
         }
-        scheduled.set(false);
+        turnScheduled.set(false);
         if (!messages.isEmpty()) {
-            schedule();
+            scheduleTurn();
         }
     }
 }
--- a/node/src/main/java/fawnlb/actor/Timers.java
+++ b/node/src/main/java/fawnlb/eventloop/Timers.java
@@ -1,4 +1,4 @@
-package fawnlb.actor;
+package fawnlb.eventloop;
 
 /** The clock that all actors read, and messages to come at a time of it. */
 public interface Timers {
@@ -6,13 +6,13 @@
     long now();
 
     /** Runs the task once, so many nanoseconds from now. */
-    Timer after(long nanos, Runnable task);
+    Timer schedule(long delayNanos, Runnable task);
 
-    /** Told at the beginning of each socket handler, so that {@link #eventAge} can be known. */
-    default void handlingEvent() {}
+    /** Told at the beginning of each socket handler, so that {@link #maxEventAgeNanos} can be known. */
+    default void onSocketEvent() {}
 
     /** How long the bytes that are being read may have waited for this thread, in nanoseconds, at the longest. */
-    default long eventAge() {
+    default long maxEventAgeNanos() {
         return 0;
     }
 
--- a/node/src/main/java/fawnlb/http/Connection.java
+++ b/node/src/main/java/fawnlb/http/HttpClientConnection.java
@@ -1,7 +1,7 @@
 package fawnlb.http;
 
-import fawnlb.actor.Guard;
-import fawnlb.actor.Timers;
+import fawnlb.eventloop.Timers;
+import fawnlb.eventloop.UncaughtErrorHandler;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
@@ -19,101 +19,106 @@
  * The client's side of one HTTP/1.1 connection: one call at a time, never sent again by itself. All of it runs on one
  * I/O thread.
  */
-public final class Connection {
-    private static final int READ_SIZE = 16 * 1024;
+public final class HttpClientConnection {
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
     /** What one read brings is copied out before the next, so a thread needs only one. */
-    private static final ThreadLocal<ByteBuffer> READ =
-            ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(READ_SIZE));
+    private static final ThreadLocal<ByteBuffer> READ_BUFFER =
+            ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(READ_BUFFER_BYTES));
 
     /** A connection that broke ends no answer, not even one that goes on to the connection's end. */
     private static final int RESET = -2;
 
     /** So long a head may take from its first byte to its end. */
-    private static final long HEAD = 500_000_000;
+    private static final long RESPONSE_HEAD_TIMEOUT_NANOS = 500_000_000;
 
     private final StreamConnection channel;
     private final Timers timers;
-    private ByteBuffer[] request;
+    private ByteBuffer[] unwrittenRequest;
     private ResponseParser parser;
-    private Call call;
-    private Timers.Timer headTimer;
-    private boolean headTold;
+    private ResponseHandler responseHandler;
+    private Timers.Timer headTimeout;
+    private boolean headDelivered;
     private boolean writeFailed;
     private boolean closed;
 
     /** What becomes of one call: perhaps head and pieces of the body, and always one of the two ends. */
-    public interface Call {
-        void head(Response response);
+    public interface ResponseHandler {
+        void onHead(ResponseHead head);
 
-        /** The next piece comes when {@link Connection#more} is called. */
-        void body(ByteBuffer bytes);
+        /** The next piece comes when {@link HttpClientConnection#resumeReading} is called. */
+        void onBody(ByteBuffer bytes);
 
         /** The response is whole. */
-        void end(boolean reusable);
+        void onComplete(boolean reusable);
 
         /** The call broke. */
-        void broken(Break how);
+        void onFailure(CallFailure failure);
     }
 
     /** How a call can break. NOT_WRITTEN: before the request's last byte was handed to the network. */
-    public enum Break {
-        NOT_WRITTEN,
-        CLOSED,
-        UNREADABLE,
-        UNFINISHED_HEAD
+    public enum CallFailure {
+        REQUEST_NOT_WRITTEN,
+        CONNECTION_CLOSED,
+        MALFORMED_RESPONSE,
+        HEAD_TIMEOUT
     }
 
     /** Hears whether a connect came up: a connection, or null. */
     @FunctionalInterface
-    public interface Opened {
-        void opened(Connection connection);
+    public interface ConnectHandler {
+        void onConnected(HttpClientConnection connectionOrNull);
 
         /**
          * Instead, where it failed for a reason of this machine: no descriptor, port, buffer or route. It says nothing
          * of the other side.
          */
-        default void failedLocally(IOException cause) {
-            opened(null);
+        default void onLocalFailure(IOException cause) {
+            onConnected(null);
         }
     }
 
-    private Connection(StreamConnection channel, Timers timers) {
+    private HttpClientConnection(StreamConnection channel, Timers timers) {
         this.channel = channel;
         this.timers = timers;
-        channel.getSourceChannel().setReadListener(c -> readable());
-        channel.getSinkChannel().setWriteListener(c -> writable());
+        channel.getSourceChannel().setReadListener(c -> onReadable());
+        channel.getSinkChannel().setWriteListener(c -> onWritable());
         channel.getSourceChannel().resumeReads();
     }
 
-    /** Connects; the answer comes once, at the latest after {@code timeout} nanoseconds. */
-    public static void open(
-            XnioIoThread thread, Timers timers, InetSocketAddress address, long timeout, Opened opened) {
+    /** Connects; the answer comes once, at the latest after {@code timeoutNanos} nanoseconds. */
+    public static void connect(
+            XnioIoThread thread,
+            Timers timers,
+            InetSocketAddress address,
+            long timeoutNanos,
+            ConnectHandler connectHandler) {
         IoFuture<StreamConnection> future =
                 thread.openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
         // Taking the connect back frees its descriptor; one to a vanished machine would hold it for minutes.
-        Timers.Timer timer = timers.after(timeout, future::cancel);
+        Timers.Timer timer = timers.schedule(timeoutNanos, future::cancel);
         future.addNotifier(
-                (f, none) -> thread.execute(() -> {
+                (result, attachment) -> thread.execute(() -> {
                     timer.cancel();
-                    if (f.getStatus() == IoFuture.Status.FAILED && isLocal(f.getException())) {
-                        opened.failedLocally(f.getException());
+                    if (result.getStatus() == IoFuture.Status.FAILED && isLocalFailure(result.getException())) {
+                        connectHandler.onLocalFailure(result.getException());
                     } else {
-                        opened.opened(f.getStatus() == IoFuture.Status.DONE ? done(f, timers) : null);
+                        connectHandler.onConnected(
+                                result.getStatus() == IoFuture.Status.DONE ? toConnection(result, timers) : null);
                     }
                 }),
                 null);
     }
 
     /** The platform has exceptions of their own for what the other side or the way to it refuses. */
-    private static boolean isLocal(IOException cause) {
+    private static boolean isLocalFailure(IOException cause) {
         return !(cause instanceof ConnectException
                 || cause instanceof NoRouteToHostException
                 || cause instanceof PortUnreachableException);
     }
 
-    private static Connection done(IoFuture<? extends StreamConnection> future, Timers timers) {
+    private static HttpClientConnection toConnection(IoFuture<? extends StreamConnection> future, Timers timers) {
         try {
-            return new Connection(future.get(), timers);
+            return new HttpClientConnection(future.get(), timers);
         } catch (IOException e) {
             return null;
         }
@@ -130,7 +135,7 @@
     public boolean isUsable() {
         if (isOpen()) {
             try {
-                if (channel.getSourceChannel().read(READ.get().clear()) != 0) {
+                if (channel.getSourceChannel().read(READ_BUFFER.get().clear()) != 0) {
                     close();
                 }
             } catch (IOException e) {
@@ -141,42 +146,42 @@
     }
 
     public void close() {
-        forgetHead();
+        cancelHeadTimeout();
         closed = true;
-        call = null;
+        responseHandler = null;
         IoUtils.safeClose(channel);
     }
 
     /** Sends a request, given whole, in as many buffers as it comes in. */
-    public void send(Call to, ByteBuffer... bytes) {
-        request = bytes;
+    public void send(ResponseHandler handler, ByteBuffer... request) {
+        unwrittenRequest = request;
         parser = new ResponseParser();
-        headTold = false;
-        call = to;
-        writable();
+        headDelivered = false;
+        responseHandler = handler;
+        onWritable();
     }
 
     /**
      * Asks for the next piece of the body. It comes when the I/O thread has looked at all sockets again: a wake-up
      * would be a task, and a backend that sends without a pause would have the thread to itself.
      */
-    public void more() {
+    public void resumeReading() {
         if (!closed) {
             channel.getSourceChannel().resumeReads();
         }
     }
 
-    /** Takes {@link #more} back: a piece is on its way to its reader after all. */
-    public void pause() {
+    /** Takes {@link #resumeReading} back: a piece is on its way to its reader after all. */
+    public void pauseReading() {
         if (!closed) {
             channel.getSourceChannel().suspendReads();
         }
     }
 
-    private void writable() {
+    private void onWritable() {
         try {
-            while (request != null && request[request.length - 1].hasRemaining()) {
-                if (channel.getSinkChannel().write(request, 0, request.length) == 0) {
+            while (unwrittenRequest != null && unwrittenRequest[unwrittenRequest.length - 1].hasRemaining()) {
+                if (channel.getSinkChannel().write(unwrittenRequest, 0, unwrittenRequest.length) == 0) {
                     channel.getSinkChannel().resumeWrites();
                     return;
                 }
@@ -185,7 +190,7 @@
                 channel.getSinkChannel().resumeWrites();
                 return;
             }
-            request = null;
+            unwrittenRequest = null;
             channel.getSinkChannel().suspendWrites();
         } catch (IOException e) {
             // The answer may have been sent before the other side closed: readable() looks for it.
@@ -195,117 +200,117 @@
         }
     }
 
-    private void readable() {
-        timers.handlingEvent();
+    private void onReadable() {
+        timers.onSocketEvent();
         if (closed) {
             return;
         }
-        Call told = call;
-        Guard.run(this::take, "an answer could not be taken", () -> {
+        ResponseHandler handler = responseHandler;
+        UncaughtErrorHandler.run(this::readResponse, "an answer could not be taken", () -> {
             close();
-            if (told != null) {
-                told.broken(Break.UNREADABLE);
+            if (handler != null) {
+                handler.onFailure(CallFailure.MALFORMED_RESPONSE);
             }
         });
     }
 
-    private void take() {
-        ByteBuffer in = READ.get().clear();
-        int n = read(in);
+    private void readResponse() {
+        ByteBuffer input = READ_BUFFER.get().clear();
+        int count = readOrReset(input);
         try {
-            if (n == 0 && writeFailed) {
+            if (count == 0 && writeFailed) {
                 // Nobody will answer a request of which the rest can't be written.
-                finish(false, Break.CLOSED);
+                finish(false, CallFailure.CONNECTION_CLOSED);
                 return;
             }
-            if (n == 0) {
+            if (count == 0) {
                 channel.getSourceChannel().resumeReads();
                 return;
             }
-            if (call == null) {
+            if (responseHandler == null) {
                 close();
                 return;
             }
-            if (n < 0) {
-                finish(n != RESET && parser.eof(), Break.CLOSED);
+            if (count < 0) {
+                finish(count != RESET && parser.onEndOfInput(), CallFailure.CONNECTION_CLOSED);
                 return;
             }
-            in.flip();
-            ByteBuffer body = ByteBuffer.allocate(n);
-            parser.feed(in, body);
+            input.flip();
+            ByteBuffer body = ByteBuffer.allocate(count);
+            parser.parse(input, body);
             body.flip();
-            expectHead();
-            tell(body);
+            updateHeadTimeout();
+            deliver(body);
         } catch (IOException e) {
-            finish(false, Break.UNREADABLE);
+            finish(false, CallFailure.MALFORMED_RESPONSE);
         }
     }
 
     /** Bytes read, below 0 if the other side has closed the connection, {@link #RESET} if it broke. */
-    private int read(ByteBuffer in) {
+    private int readOrReset(ByteBuffer input) {
         try {
-            return channel.getSourceChannel().read(in);
+            return channel.getSourceChannel().read(input);
         } catch (IOException e) {
             return RESET;
         }
     }
 
     /** A head comes in one piece or soon after; one that begins and does not end would hold its call for long. */
-    private void expectHead() {
+    private void updateHeadTimeout() {
         if (parser.head() != null) {
-            forgetHead();
-        } else if (headTimer == null) {
-            headTimer = timers.after(HEAD, () -> finish(false, Break.UNFINISHED_HEAD));
+            cancelHeadTimeout();
+        } else if (headTimeout == null) {
+            headTimeout = timers.schedule(RESPONSE_HEAD_TIMEOUT_NANOS, () -> finish(false, CallFailure.HEAD_TIMEOUT));
         }
     }
 
-    private void forgetHead() {
-        if (headTimer != null) {
-            headTimer.cancel();
-            headTimer = null;
+    private void cancelHeadTimeout() {
+        if (headTimeout != null) {
+            headTimeout.cancel();
+            headTimeout = null;
         }
     }
 
-    private void tell(ByteBuffer body) {
-        if (parser.head() != null && !headTold) {
-            headTold = true;
-            call.head(parser.head());
+    private void deliver(ByteBuffer body) {
+        if (parser.head() != null && !headDelivered) {
+            headDelivered = true;
+            responseHandler.onHead(parser.head());
         }
         if (closed) {
             return;
         }
-        boolean done = parser.done();
+        boolean complete = parser.isComplete();
         if (body.hasRemaining()) {
             channel.getSourceChannel().suspendReads();
-            call.body(body);
+            responseHandler.onBody(body);
         }
-        if (done) {
-            finish(true, Break.CLOSED);
+        if (complete) {
+            finish(true, CallFailure.CONNECTION_CLOSED);
         }
     }
 
     /** The call is whole, or broke so. */
-    private void finish(boolean whole, Break how) {
+    private void finish(boolean complete, CallFailure failure) {
         if (closed) {
             return;
         }
-        forgetHead();
-        Call told = call;
-        boolean written = request == null;
-        boolean reusable = whole && written && parser.head().keepAlive() && !parser.surplus();
-        call = null;
+        cancelHeadTimeout();
+        ResponseHandler handler = responseHandler;
+        boolean written = unwrittenRequest == null;
+        boolean reusable = complete && written && parser.head().keepAlive() && !parser.hasSurplusBytes();
+        responseHandler = null;
         if (reusable) {
             channel.getSourceChannel().resumeReads();
         } else {
             close();
         }
-        if (told == null) {
+        if (handler == null) {
             return;
         }
-        if (whole) {
-            told.end(reusable);
+        if (complete) {
+            handler.onComplete(reusable);
         } else {
-            told.broken(written ? how : Break.NOT_WRITTEN);
+            handler.onFailure(written ? failure : CallFailure.REQUEST_NOT_WRITTEN);
         }
     }
 }
--- a/node/src/main/java/fawnlb/http/BodyReader.java
+++ b/node/src/main/java/fawnlb/http/RequestBodyReader.java
@@ -1,6 +1,6 @@
 package fawnlb.http;
 
-import fawnlb.actor.Guard;
+import fawnlb.eventloop.UncaughtErrorHandler;
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.io.IoCallback;
 import io.undertow.io.Sender;
@@ -25,133 +25,137 @@
  * receiver is not used: it takes memory for as many bytes as a client announces before it looks at its limit, which
  * ends the process, and it passes over chunks that can't be read.
  */
-public final class BodyReader {
+public final class RequestBodyReader {
     private static final int MAX_BODY_BYTES = 256 * 1024;
-    private static final int FIRST_ROOM = 8 * 1024;
+    private static final int INITIAL_BUFFER_BYTES = 8 * 1024;
     /** A client that stops half-way through its body is owed an error within 3 s of its connect. */
-    private static final long PATIENCE_MS = 2000;
+    private static final long BODY_TIMEOUT_MS = 2000;
 
-    private final AtomicLong room;
+    private final AtomicLong availableBytes;
 
     /**
      * Holds so many bytes of bodies at a time: every client at once with the largest one would be more than the heap.
      */
-    public BodyReader(long mostHeld) {
-        room = new AtomicLong(mostHeld);
+    public RequestBodyReader(long maxBufferedBytes) {
+        availableBytes = new AtomicLong(maxBufferedBytes);
     }
 
     /** Answers a request that goes no further. */
     @FunctionalInterface
-    public interface Refusal {
-        void refuse(HttpServerExchange exchange, int status, String text);
+    public interface RejectionHandler {
+        void reject(HttpServerExchange exchange, int status, String text);
     }
 
     /** Hands the body on, or a status and a text on why it could not be had. */
-    public void receive(HttpServerExchange exchange, BiConsumer<HttpServerExchange, byte[]> taken, Refusal refused) {
-        Reading reading = new Reading(exchange, taken, refused);
-        exchange.dispatch(SameThreadExecutor.INSTANCE, reading::begin);
+    public void receive(
+            HttpServerExchange exchange, BiConsumer<HttpServerExchange, byte[]> onBody, RejectionHandler onRejected) {
+        BodyReceiver receiver = new BodyReceiver(exchange, onBody, onRejected);
+        exchange.dispatch(SameThreadExecutor.INSTANCE, receiver::begin);
     }
 
-    private final class Reading {
+    private final class BodyReceiver {
         private final HttpServerExchange exchange;
         private final HttpServerConnection connection;
-        private final BiConsumer<HttpServerExchange, byte[]> taken;
-        private final Refusal refused;
-        private Content content;
+        private final BiConsumer<HttpServerExchange, byte[]> onBody;
+        private final RejectionHandler onRejected;
+        private BodyFraming framing;
         private ByteBuffer body = ByteBuffer.allocate(0);
-        private int held;
-        private XnioExecutor.Key patience;
+        private int reservedBytes;
+        private XnioExecutor.Key timeout;
         private boolean done;
 
-        Reading(HttpServerExchange exchange, BiConsumer<HttpServerExchange, byte[]> taken, Refusal refused) {
+        BodyReceiver(
+                HttpServerExchange exchange,
+                BiConsumer<HttpServerExchange, byte[]> onBody,
+                RejectionHandler onRejected) {
             this.exchange = exchange;
             this.connection = (HttpServerConnection) exchange.getConnection();
-            this.taken = taken;
-            this.refused = refused;
+            this.onBody = onBody;
+            this.onRejected = onRejected;
         }
 
         void begin() {
-            exchange.addExchangeCompleteListener((over, next) -> {
-                end();
-                room.addAndGet(held);
+            exchange.addExchangeCompleteListener((completed, next) -> {
+                stopReading();
+                availableBytes.addAndGet(reservedBytes);
                 next.proceed();
             });
-            long length = Math.max(0, exchange.getRequestContentLength());
-            if (length > MAX_BODY_BYTES) {
-                refuse(StatusCodes.REQUEST_ENTITY_TOO_LARGE, "the body is over 256 KiB");
+            long declaredBytes = Math.max(0, exchange.getRequestContentLength());
+            if (declaredBytes > MAX_BODY_BYTES) {
+                reject(StatusCodes.REQUEST_ENTITY_TOO_LARGE, "the body is over 256 KiB");
             } else if (exchange.isRequestComplete()) {
                 done = true;
-                taken.accept(exchange, new byte[0]);
+                onBody.accept(exchange, new byte[0]);
             } else {
-                content = exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING)
-                        ? Content.chunked(MAX_BODY_BYTES)
-                        : Content.fixed(length);
-                patience = exchange.getIoThread()
+                framing = exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING)
+                        ? BodyFraming.chunked(MAX_BODY_BYTES)
+                        : BodyFraming.fixedLength(declaredBytes);
+                timeout = exchange.getIoThread()
                         .executeAfter(
-                                () -> refuse(StatusCodes.REQUEST_TIME_OUT, "the body did not come"),
-                                PATIENCE_MS,
+                                () -> reject(StatusCodes.REQUEST_TIME_OUT, "the body did not come"),
+                                BODY_TIMEOUT_MS,
                                 TimeUnit.MILLISECONDS);
-                connection.getChannel().getSourceChannel().setReadListener(c -> read());
+                connection.getChannel().getSourceChannel().setReadListener(c -> readGuarded());
                 if (HttpContinue.requiresContinueResponse(exchange)) {
-                    HttpContinue.sendContinueResponse(exchange, new Continued());
+                    HttpContinue.sendContinueResponse(exchange, new ContinueCallback());
                 } else {
-                    read();
+                    readGuarded();
                 }
             }
         }
 
-        private final class Continued implements IoCallback {
+        private final class ContinueCallback implements IoCallback {
             @Override
-            public void onComplete(HttpServerExchange of, Sender sender) {
-                read();
+            public void onComplete(HttpServerExchange completed, Sender sender) {
+                readGuarded();
             }
 
             @Override
-            public void onException(HttpServerExchange of, Sender sender, IOException e) {
+            public void onException(HttpServerExchange failed, Sender sender, IOException e) {
                 abandon();
             }
         }
 
-        private void read() {
-            Guard.run(this::readOn, "a request could not be taken", () -> {
-                end();
-                refused.refuse(exchange, StatusCodes.INTERNAL_SERVER_ERROR, "failed");
+        private void readGuarded() {
+            UncaughtErrorHandler.run(this::readAvailable, "a request could not be taken", () -> {
+                stopReading();
+                onRejected.reject(exchange, StatusCodes.INTERNAL_SERVER_ERROR, "failed");
             });
         }
 
         /** Reads below Undertow's own framing, from what came with the head on. */
-        private void readOn() {
+        private void readAvailable() {
             while (!done) {
                 PooledByteBuffer pooled = connection.getExtraBytes();
                 connection.setExtraBytes(null);
-                boolean rest = false;
+                boolean hasFollowingBytes = false;
                 try {
                     if (pooled == null) {
                         pooled = connection.getByteBufferPool().allocate();
-                        int n = connection.getOriginalSourceConduit().read(pooled.getBuffer());
+                        int count = connection.getOriginalSourceConduit().read(pooled.getBuffer());
                         pooled.getBuffer().flip();
-                        if (n < 0) {
+                        if (count < 0) {
                             abandon();
                             return;
                         }
-                        if (n == 0) {
+                        if (count == 0) {
                             connection.getOriginalSourceConduit().resumeReads();
                             return;
                         }
                     }
-                    if (feed(pooled.getBuffer())) {
-                        rest = pooled.getBuffer().hasRemaining();
-                        if (rest) {
+                    if (decode(pooled.getBuffer())) {
+                        hasFollowingBytes = pooled.getBuffer().hasRemaining();
+                        if (hasFollowingBytes) {
                             connection.setExtraBytes(pooled);
                         }
-                        whole();
+                        complete();
                     }
                 } catch (ContentFault e) {
-                    refuse(e.status, e.getMessage());
+                    reject(e.status, e.getMessage());
                 } catch (IOException e) {
                     abandon();
                 } finally {
-                    if (!rest && pooled != null) {
+                    if (!hasFollowingBytes && pooled != null) {
                         pooled.close();
                     }
                 }
@@ -159,62 +163,62 @@
         }
 
         /** True once the body is whole; what follows it stays in the buffer. */
-        private boolean feed(ByteBuffer in) throws ContentFault {
+        private boolean decode(ByteBuffer in) throws ContentFault {
             try {
-                content.feed(in, body);
-                while (in.hasRemaining() && !content.done()) {
-                    grow();
-                    content.feed(in, body);
+                framing.decode(in, body);
+                while (in.hasRemaining() && !framing.isComplete()) {
+                    growBuffer();
+                    framing.decode(in, body);
                 }
-                return content.done();
+                return framing.isComplete();
             } catch (IOException e) {
                 throw new ContentFault(StatusCodes.BAD_REQUEST, "the body can't be read: " + e.getMessage());
             }
         }
 
-        private void grow() throws ContentFault {
-            int larger = Math.min(MAX_BODY_BYTES, Math.max(FIRST_ROOM, 2 * held));
-            if (larger == held) {
+        private void growBuffer() throws ContentFault {
+            int newCapacity = Math.min(MAX_BODY_BYTES, Math.max(INITIAL_BUFFER_BYTES, 2 * reservedBytes));
+            if (newCapacity == reservedBytes) {
                 throw new ContentFault(StatusCodes.REQUEST_ENTITY_TOO_LARGE, "the body is over 256 KiB");
             }
-            if (room.addAndGet(held - larger) < 0) {
-                room.addAndGet(larger - held);
+            if (availableBytes.addAndGet(reservedBytes - newCapacity) < 0) {
+                availableBytes.addAndGet(newCapacity - reservedBytes);
                 exchange.getResponseHeaders().put(Headers.RETRY_AFTER, "1");
                 throw new ContentFault(StatusCodes.SERVICE_UNAVAILABLE, "no room for the body; try again later");
             }
-            body = ByteBuffer.wrap(Arrays.copyOf(body.array(), larger)).position(body.position());
-            held = larger;
+            body = ByteBuffer.wrap(Arrays.copyOf(body.array(), newCapacity)).position(body.position());
+            reservedBytes = newCapacity;
         }
 
-        private void whole() {
-            end();
+        private void complete() {
+            stopReading();
             Connectors.terminateRequest(exchange);
-            byte[] all = Arrays.copyOf(body.array(), body.position());
-            room.addAndGet(held - all.length);
-            held = all.length;
+            byte[] content = Arrays.copyOf(body.array(), body.position());
+            availableBytes.addAndGet(reservedBytes - content.length);
+            reservedBytes = content.length;
             body = null;
-            taken.accept(exchange, all);
+            onBody.accept(exchange, content);
         }
 
         /** Answers without reading on; the connection closes with the answer, whatever still comes on it. */
-        private void refuse(int status, String text) {
+        private void reject(int status, String text) {
             if (!done) {
-                end();
-                refused.refuse(exchange, status, text);
+                stopReading();
+                onRejected.reject(exchange, status, text);
             }
         }
 
         /** The client has left half-way. */
         private void abandon() {
-            end();
+            stopReading();
             Connectors.terminateRequest(exchange);
             IoUtils.safeClose(connection);
         }
 
-        private void end() {
+        private void stopReading() {
             done = true;
-            if (patience != null) {
-                patience.remove();
+            if (timeout != null) {
+                timeout.remove();
                 connection.getOriginalSourceConduit().suspendReads();
             }
         }
--- a/node/src/main/java/fawnlb/http/Heads.java
+++ b/node/src/main/java/fawnlb/http/RequestHeadValidator.java
@@ -6,11 +6,11 @@
 import java.io.IOException;
 
 /** What both sides ask of a message's head. Undertow reads a request's; it takes more than a careful reader should. */
-public final class Heads {
-    private Heads() {}
+public final class RequestHeadValidator {
+    private RequestHeadValidator() {}
 
     /** What is wrong with a request's head, null if nothing is: then its length can be trusted. */
-    public static String fault(HttpServerExchange exchange) {
+    public static String findFault(HttpServerExchange exchange) {
         if (!exchange.isHttp11()) {
             // HTTP/1.0 has no chunks: a stream that was cut off would look whole.
             return "only HTTP/1.1 is spoken here";
@@ -25,7 +25,7 @@
                 }
             }
         }
-        return framingFault(
+        return findFramingFault(
                 exchange.getRequestHeaders().get(Headers.TRANSFER_ENCODING),
                 exchange.getRequestHeaders().get(Headers.CONTENT_LENGTH));
     }
@@ -35,7 +35,7 @@
      *
      * @throws IllegalArgumentException if it is given more than once: a backend might believe the other
      */
-    public static String one(HttpServerExchange exchange, String name) {
+    public static String singleHeader(HttpServerExchange exchange, String name) {
         HeaderValues values = exchange.getRequestHeaders().get(name);
         if (values != null && values.size() > 1) {
             throw new IllegalArgumentException(name + " is given more than once");
@@ -44,17 +44,19 @@
     }
 
     /** A request with both, or with two, may hide another in its body. */
-    private static String framingFault(HeaderValues coding, HeaderValues length) {
-        if (coding != null
-                && (length != null || coding.size() > 1 || !coding.getFirst().equalsIgnoreCase("chunked"))) {
+    private static String findFramingFault(HeaderValues transferEncoding, HeaderValues contentLength) {
+        if (transferEncoding != null
+                && (contentLength != null
+                        || transferEncoding.size() > 1
+                        || !transferEncoding.getFirst().equalsIgnoreCase("chunked"))) {
             return "Transfer-Encoding: only 'chunked' is read, and alone";
         }
-        if (length == null) {
+        if (contentLength == null) {
             return null;
         }
         try {
-            Content.length(length.getFirst());
-            return length.size() > 1 ? "more than one Content-Length" : null;
+            BodyFraming.parseContentLength(contentLength.getFirst());
+            return contentLength.size() > 1 ? "more than one Content-Length" : null;
         } catch (IOException e) {
             return "Content-Length: " + e.getMessage();
         }
@@ -67,7 +69,7 @@
     }
 
     /** Whether the header decides where the message ends. */
-    static boolean isFraming(String name) {
+    static boolean isFramingHeader(String name) {
         return name.equals("content-length") || name.equals("transfer-encoding");
     }
 }
--- a/node/src/main/java/fawnlb/messages/FlowRecord.java
+++ b/node/src/main/java/fawnlb/messages/RequestRecord.java
@@ -1,27 +1,27 @@
 package fawnlb.messages;
 
-import fawnlb.dialect.Dialect;
+import fawnlb.translation.Dialect;
 
 /** What is logged of one flow, filled in as it becomes known. */
-final class FlowRecord {
+final class RequestRecord {
     private final String id;
     private final Dialect dialect;
-    private final long takenAt;
+    private final long receivedAtNanos;
     private String team = "-";
     private String requestClass = "-";
     private String model = "-";
 
-    FlowRecord(String id, Dialect dialect, long takenAt) {
+    RequestRecord(String id, Dialect dialect, long takenAt) {
         this.id = id;
         this.dialect = dialect;
-        this.takenAt = takenAt;
+        this.receivedAtNanos = takenAt;
     }
 
     void team(String name) {
         team = name;
     }
 
-    void asked(String wantedClass, String wantedModel) {
+    void setClassAndModel(String wantedClass, String wantedModel) {
         requestClass = wantedClass;
         model = wantedModel;
     }
@@ -34,8 +34,8 @@
         return dialect;
     }
 
-    long takenAt() {
-        return takenAt;
+    long receivedAtNanos() {
+        return receivedAtNanos;
     }
 
     String team() {
--- a/node/src/main/java/fawnlb/metrics/Invariant.java
+++ b/node/src/main/java/fawnlb/metrics/Invariant.java
@@ -26,29 +26,29 @@
     /** Nobody waits for a message that was not taken. */
     MESSAGE_TAKEN;
 
-    private static final long LOG_PAUSE = 1_000_000_000L;
+    private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
     private static final Logger LOG = Logger.getLogger(Invariant.class.getName());
 
-    private final AtomicLong loggedAt = new AtomicLong(System.nanoTime() - LOG_PAUSE);
+    private final AtomicLong lastLoggedAt = new AtomicLong(System.nanoTime() - LOG_INTERVAL_NANOS);
 
     /**
      * Counts a violation, and logs it at most once a second.
      *
-     * @param request the id of the request, or what else the violation concerns
+     * @param subject the id of the request, or what else the violation concerns
      */
-    public void violated(String request, String how) {
-        Metrics.count(Metric.INVARIANT_VIOLATIONS, this);
+    public void reportViolation(String subject, String detail) {
+        Metrics.increment(Metric.INVARIANT_VIOLATIONS, this);
         long now = System.nanoTime();
-        long last = loggedAt.get();
-        if (now - last >= LOG_PAUSE && loggedAt.compareAndSet(last, now)) {
-            LOG.severe("invariant " + name() + " violated: " + request + ": " + how);
+        long last = lastLoggedAt.get();
+        if (now - last >= LOG_INTERVAL_NANOS && lastLoggedAt.compareAndSet(last, now)) {
+            LOG.severe("invariant " + name() + " violated: " + subject + ": " + detail);
         }
     }
 
     /** Whether the condition holds; counts a violation if it does not, and only then asks for the request's name. */
-    public boolean holds(boolean condition, Supplier<String> request, String how) {
+    public boolean check(boolean condition, Supplier<String> subject, String detail) {
         if (!condition) {
-            violated(request.get(), how);
+            reportViolation(subject.get(), detail);
         }
         return condition;
     }
--- a/node/src/main/java/fawnlb/metrics/Metrics.java
+++ b/node/src/main/java/fawnlb/metrics/Metrics.java
@@ -32,34 +32,35 @@
         /** Broken invariants: each is a fault of the node. */
         INVARIANT_VIOLATIONS("fawnlb_invariant_violations_total", "invariant");
 
-        private final String exported;
-        private final String label;
+        private final String seriesName;
+        private final String labelName;
 
-        Metric(String exported, String label) {
-            this.exported = exported;
-            this.label = label;
+        Metric(String seriesName, String label) {
+            this.seriesName = seriesName;
+            this.labelName = label;
         }
     }
 
-    private record Key(Metric metric, String label) {}
+    private record Key(Metric metric, String labelValue) {}
 
     private static final Map<Key, LongAdder> COUNTERS = new ConcurrentHashMap<>();
 
     private Metrics() {}
 
     /** Counts one more. */
-    public static void count(Metric metric, String label) {
-        COUNTERS.computeIfAbsent(new Key(metric, label), key -> new LongAdder()).increment();
+    public static void increment(Metric metric, String labelValue) {
+        COUNTERS.computeIfAbsent(new Key(metric, labelValue), key -> new LongAdder())
+                .increment();
     }
 
     /** Counts one more under the constant's name, in lower case. */
-    public static void count(Metric metric, Enum<?> label) {
-        count(metric, label.name().toLowerCase(Locale.ROOT));
+    public static void increment(Metric metric, Enum<?> labelValue) {
+        increment(metric, labelValue.name().toLowerCase(Locale.ROOT));
     }
 
     /** How often something was counted. */
-    public static long value(Metric metric, String label) {
-        LongAdder counter = COUNTERS.get(new Key(metric, label));
+    public static long value(Metric metric, String labelValue) {
+        LongAdder counter = COUNTERS.get(new Key(metric, labelValue));
         return counter == null ? 0 : counter.sum();
     }
 
@@ -72,10 +73,11 @@
     }
 
     /** All counters in Prometheus's text format, in the order of their names. */
-    public static String text() {
+    public static String toPrometheusText() {
         Map<String, Long> lines = new TreeMap<>();
         COUNTERS.forEach((key, counter) -> lines.put(
-                key.metric().exported + '{' + key.metric().label + "=\"" + key.label() + "\"}", counter.sum()));
+                key.metric().seriesName + '{' + key.metric().labelName + "=\"" + key.labelValue() + "\"}",
+                counter.sum()));
         StringBuilder text = new StringBuilder();
         lines.forEach(
                 (name, value) -> text.append(name).append(' ').append(value).append('\n'));
@@ -86,7 +88,7 @@
     public static String summary() {
         Map<String, Long> parts = new TreeMap<>();
         COUNTERS.forEach((key, counter) ->
-                parts.put(key.metric().name().toLowerCase(Locale.ROOT) + '.' + key.label(), counter.sum()));
+                parts.put(key.metric().name().toLowerCase(Locale.ROOT) + '.' + key.labelValue(), counter.sum()));
         StringBuilder line = new StringBuilder();
         parts.forEach((name, value) ->
                 line.append(line.isEmpty() ? "" : ", ").append(name).append(' ').append(value));
--- /dev/null
+++ b/node/src/main/java/fawnlb/platform/PlatformHandler.java
@@ -0,0 +1,140 @@
+package fawnlb.platform;
+
+import fawnlb.backend.OutboundRequest;
+import fawnlb.client.ClientExchange;
+import fawnlb.client.InFlightRequestIds;
+import fawnlb.client.ResponseFormatter;
+import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.eventloop.Mailbox;
+import fawnlb.http.RequestBodyReader;
+import fawnlb.http.RequestHeadValidator;
+import fawnlb.proxy.IncomingRequest;
+import fawnlb.proxy.RequestProxy;
+import fawnlb.translation.CompletionRequest;
+import fawnlb.translation.Dialect;
+import io.undertow.server.HttpHandler;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.Headers;
+import io.undertow.util.Methods;
+import io.undertow.util.StatusCodes;
+
+/** The platform's protocol for clients: a thin front of the core. */
+public final class PlatformHandler implements HttpHandler {
+    private static final int MAILBOX_CAPACITY = 64;
+    private static final long OVERLOAD_RETRY_AFTER_NANOS = 1_000_000_000;
+
+    private final RequestProxy requestProxy;
+    private final RequestBodyReader bodyReader;
+    private final InFlightRequestIds inFlightIds;
+    private final RequestHeaderParser headerParser;
+    private final boolean translationRequired;
+    private volatile boolean endpointsKnown;
+    private volatile boolean draining;
+
+    /** Mixed: some backends speak the other dialect, so that every request must be one that can be translated. */
+    public PlatformHandler(
+            RequestProxy requestProxy,
+            RequestBodyReader bodyReader,
+            InFlightRequestIds inFlightIds,
+            LoadBalancerSettings settings,
+            boolean translationRequired) {
+        this.requestProxy = requestProxy;
+        this.bodyReader = bodyReader;
+        this.inFlightIds = inFlightIds;
+        this.headerParser = new RequestHeaderParser(settings);
+        this.translationRequired = translationRequired;
+    }
+
+    /**
+     * Discovery has answered or failed: until then the node does not know where to send, and others that do are better
+     * asked.
+     */
+    public void onEndpointsKnown() {
+        endpointsKnown = true;
+    }
+
+    /** From here on readiness is denied. */
+    public void beginGracefulShutdown() {
+        draining = true;
+    }
+
+    @Override
+    public void handleRequest(HttpServerExchange exchange) {
+        switch (exchange.getRequestPath()) {
+            case "/health/ready" ->
+                sendText(
+                        exchange,
+                        endpointsKnown && !draining ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE,
+                        draining ? "draining" : endpointsKnown ? "ready" : "waiting for discovery");
+            case "/v1/chat/completions" -> {
+                if (exchange.getRequestMethod().equals(Methods.POST)) {
+                    bodyReader.receive(exchange, this::handleBody, PlatformHandler::sendText);
+                } else {
+                    exchange.getResponseHeaders().put(Headers.ALLOW, "POST");
+                    sendText(exchange, StatusCodes.METHOD_NOT_ALLOWED, "only POST is served here");
+                }
+            }
+            default -> sendText(exchange, StatusCodes.NOT_FOUND, "no such path");
+        }
+    }
+
+    private void handleBody(HttpServerExchange exchange, byte[] body) {
+        IncomingRequest request;
+        OutboundRequest.ResponseSummary responseSummary = new OutboundRequest.ResponseSummary(false);
+        String id;
+        try {
+            id = requestId(exchange);
+            if (body.length == 0) {
+                throw new IllegalArgumentException("the request has no body");
+            }
+            byte[] translated = translationRequired
+                    ? CompletionRequest.decode(Dialect.CHAT, body).encode(Dialect.MESSAGES)
+                    : null;
+            request = headerParser.parse(
+                    name -> RequestHeadValidator.singleHeader(exchange, name),
+                    new OutboundRequest(
+                            Dialect.CHAT,
+                            pathWithQuery(exchange),
+                            id,
+                            RequestHeadValidator.singleHeader(exchange, OutboundRequest.IDEMPOTENCY_KEY),
+                            true,
+                            body,
+                            translated,
+                            responseSummary));
+        } catch (IllegalArgumentException | CompletionRequest.InvalidCompletionRequestException e) {
+            sendText(exchange, StatusCodes.BAD_REQUEST, e.getMessage());
+            return;
+        }
+        if (!inFlightIds.tryRegister(id, exchange)) {
+            sendText(exchange, StatusCodes.CONFLICT, "X-Request-Id is that of an open request");
+            return;
+        }
+        ClientExchange client = new ClientExchange(
+                exchange,
+                new Mailbox(exchange.getIoThread(), MAILBOX_CAPACITY),
+                new PlatformResponseFormatter(responseSummary));
+        RequestProxy.RequestHandle handle = requestProxy.submit(request, client);
+        if (handle == null) {
+            client.sendRejection(null, OVERLOAD_RETRY_AFTER_NANOS);
+        } else {
+            client.attach(handle);
+        }
+    }
+
+    private static String requestId(HttpServerExchange exchange) {
+        String id = RequestHeadValidator.singleHeader(exchange, "X-Request-Id");
+        if (id == null || !id.matches("[!-~]{1,128}")) {
+            throw new IllegalArgumentException("X-Request-Id: expected one, of up to 128 visible characters");
+        }
+        return id;
+    }
+
+    private static String pathWithQuery(HttpServerExchange exchange) {
+        String query = exchange.getQueryString();
+        return exchange.getRequestURI() + (query.isEmpty() ? "" : "?" + query);
+    }
+
+    private static void sendText(HttpServerExchange exchange, int status, String text) {
+        ClientExchange.write(exchange, new ResponseFormatter.FixedResponse(status, "text/plain", text + "\n"), 0);
+    }
+}
