--- a/node/src/main/java/fawnlb/policy/Choice.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -1,6 +1,6 @@
 package fawnlb.policy;
 
-import fawnlb.decision.Balancer;
+import fawnlb.decision.LoadBalancer;
 import fawnlb.membership.SubscriptionSchedule;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -21,7 +21,7 @@
  * departs from that stands in the section on exceptions, each with what it guards against. A Choice has no clock, no
  * threads and no state but its own.
  */
-public final class Choice implements Balancer {
+public final class BoundedLoadBalancer implements LoadBalancer {
 
     // ---- Settings -------------------------------------------------------------------------------------
 
@@ -35,38 +35,38 @@
     private static final int LIST_TIMER = 0;
     private static final int HELD_TIMER = 1;
 
-    private final Settings settings;
-    private final Sink sink;
+    private final LoadBalancerSettings settings;
+    private final ActionSink sink;
     private final SplittableRandom random;
     private long now;
 
-    public Choice(Settings settings, long seed, Sink sink) {
+    public BoundedLoadBalancer(LoadBalancerSettings settings, long seed, ActionSink sink) {
         this.settings = settings;
         this.sink = sink;
         this.sent = settings.tenants().stream().mapToDouble(Tenant::share).toArray();
-        this.typicalStream = new double[settings.classes().size()];
-        this.streamsSeen = new int[settings.classes().size()];
+        this.typicalStream = new double[settings.requestClasses().size()];
+        this.streamsSeen = new int[settings.requestClasses().size()];
         this.random = new SplittableRandom(mix(seed));
-        this.subscription =
-                new SubscriptionSchedule(settings.routers(), settings.rules().askWithin(), random::nextDouble);
-        this.retryBurst = this.retryCredit = Math.max(1, RETRY_BURST / Math.max(1, settings.routers()));
+        this.subscription = new SubscriptionSchedule(
+                settings.instances(), settings.endpointLifecycle().pollDeadlineNanos(), random::nextDouble);
+        this.retryBurst = this.retryCredit = Math.max(1, RETRY_BURST / Math.max(1, settings.instances()));
     }
 
     @Override
-    public void on(long time, Event event) {
+    public void onEvent(long time, LoadBalancerEvent event) {
         now = time;
-        if (event instanceof Request e) {
+        if (event instanceof RequestArrived e) {
             arrived(e);
-        } else if (event instanceof Ended e) {
+        } else if (event instanceof AttemptEnded e) {
             ended(e);
-        } else if (event instanceof Started e) {
+        } else if (event instanceof ResponseStarted e) {
             started(e);
-        } else if (event instanceof TimerDue e) {
+        } else if (event instanceof TimerFired e) {
             timerDue(e.token());
-        } else if (event instanceof Listed e) {
+        } else if (event instanceof EndpointsUpdated e) {
             listed(e);
-        } else if (event instanceof ClientGone e) {
-            Task task = tasks.get(e.request());
+        } else if (event instanceof ClientDisconnected e) {
+            ActiveRequest task = tasks.get(e.requestId());
             if (task != null) {
                 close(task);
             }
@@ -76,37 +76,37 @@
     // ---- List -----------------------------------------------------------------------------------------
 
     /** A replica as this router knows it. */
-    private static final class Node {
+    private static final class EndpointState {
         final long id;
-        Phase phase = Phase.GONE;
+        EndpointPhase phase = EndpointPhase.GONE;
         boolean onRing;
-        long readyAt;
+        long startedAt;
         int zone;
         int cell;
         KindPace kind;
         int inFlight;
         long visit;
-        boolean cold;
-        long coldNextAt;
-        int failures;
+        boolean inSlowStart;
+        long slowStartNextAttemptAt;
+        int consecutiveFailures;
         int stalls;
-        long suspectUntil;
-        double lag;
-        double late;
-        double pace = 1;
-        int streams;
-        int waiting;
-        int room;
-        long waitingSince;
-
-        Node(long id) {
+        long ejectedUntil;
+        double firstTokenLatency;
+        double lateFraction;
+        double streamSlowdown = 1;
+        int streamSamples;
+        int awaitingFirstToken;
+        int capacity;
+        long silentSince;
+
+        EndpointState(long id) {
             this.id = id;
         }
     }
 
-    private final Map<Long, Node> nodes = new HashMap<>();
+    private final Map<Long, EndpointState> nodes = new HashMap<>();
     /** Those that are ready, and a place for a figure of each. */
-    private final List<Node> readyNodes = new ArrayList<>();
+    private final List<EndpointState> readyNodes = new ArrayList<>();
 
     private double[] figures = new double[0];
     private int ready;
@@ -116,20 +116,20 @@
     private int nearTotal;
     private final SubscriptionSchedule subscription;
 
-    private void listed(Listed news) {
-        if (settings.discovery() == Discovery.ASKED && news.kind() != ListKind.VIEW) {
-            subscription.heard(now, news.kind()).ifPresent(this::wakeForList);
+    private void listed(EndpointsUpdated news) {
+        if (settings.discoveryMode() == DiscoveryMode.WATCHED && news.kind() != EndpointUpdateKind.FILTERED) {
+            subscription.onDiscoveryUpdate(now, news.kind()).ifPresent(this::wakeForList);
         }
-        if (news.kind().failed()) {
+        if (news.kind().isFailure()) {
             return;
         }
-        List<Node> joined = new ArrayList<>();
+        List<EndpointState> joined = new ArrayList<>();
         boolean left = false;
-        boolean whole = news.kind() == ListKind.FULL || news.kind() == ListKind.CACHED;
+        boolean whole = news.kind() == EndpointUpdateKind.FULL || news.kind() == EndpointUpdateKind.CACHED;
         long mark = ++visits;
-        for (Replica replica : news.replicas()) {
-            Node node = nodes.computeIfAbsent(replica.id(), Node::new);
-            boolean listed = replica.phase() != Phase.GONE;
+        for (Endpoint replica : news.endpoints()) {
+            EndpointState node = nodes.computeIfAbsent(replica.id(), EndpointState::new);
+            boolean listed = replica.phase() != EndpointPhase.GONE;
             update(node, replica);
             node.visit = mark;
             if (listed && !node.onRing) {
@@ -147,7 +147,7 @@
         }
         recount();
         if (meanCost == 0 && ready == cold) {
-            coldNodes.forEach(node -> node.coldNextAt = now);
+            coldNodes.forEach(node -> node.slowStartNextAttemptAt = now);
         }
         serveHeld();
     }
@@ -155,38 +155,38 @@
     /** A whole list names those that are gone by leaving them out. */
     private boolean leaveOut(long mark) {
         boolean left = false;
-        for (Node node : nodes.values()) {
-            if (node.visit != mark && node.phase != Phase.GONE) {
-                node.phase = Phase.GONE;
+        for (EndpointState node : nodes.values()) {
+            if (node.visit != mark && node.phase != EndpointPhase.GONE) {
+                node.phase = EndpointPhase.GONE;
                 left = true;
             }
         }
         return left;
     }
 
-    private void update(Node node, Replica replica) {
-        if (replica.readyAt() != node.readyAt) {
-            restarted(node, replica.readyAt());
+    private void update(EndpointState node, Endpoint replica) {
+        if (replica.startedAt() != node.startedAt) {
+            restarted(node, replica.startedAt());
         }
-        if (replica.phase() == Phase.DRAINING && node.phase == Phase.READY) {
+        if (replica.phase() == EndpointPhase.DRAINING && node.phase == EndpointPhase.READY) {
             drains();
         }
         node.phase = replica.phase();
         node.zone = replica.zone();
         node.cell = replica.cell();
         node.kind = kindPaces.computeIfAbsent(replica.kind(), kind -> new KindPace());
-        node.room = replica.room();
+        node.capacity = replica.capacity();
     }
 
     /** The last timer that was set counts: if all did, each call that fails would leave two behind. */
     private void wakeForList(long at) {
-        sink.act(new Timer(at, LIST_TIMER));
+        sink.perform(new SetTimer(at, LIST_TIMER));
     }
 
     private void askForList() {
-        if (subscription.isDue(now, settings.tick())) {
-            sink.act(new Subscribe());
-            wakeForList(subscription.called(now));
+        if (subscription.isCallDue(now, settings.tickNanos())) {
+            sink.perform(new WatchEndpoints());
+            wakeForList(subscription.onCallStarted(now));
         }
     }
 
@@ -198,16 +198,16 @@
         readyNodes.clear();
         readyKinds.clear();
         BitSet met = new BitSet();
-        for (Node node : nodes.values()) {
+        for (EndpointState node : nodes.values()) {
             boolean here = node.zone == settings.zone();
             nearTotal += here ? node.inFlight : 0;
-            if (node.phase == Phase.READY) {
+            if (node.phase == EndpointPhase.READY) {
                 nearReady += here ? 1 : 0;
                 met.set(Math.max(0, node.zone));
                 readyNodes.add(node);
                 readyKinds.add(node.kind);
                 ready++;
-                cold += node.cold ? 1 : 0;
+                cold += node.inSlowStart ? 1 : 0;
             }
         }
         zones = met.cardinality();
@@ -216,14 +216,14 @@
 
     // ---- Ring and cap ---------------------------------------------------------------------------------
 
-    private final HashRing<Node> ring = new HashRing<>();
+    private final HashRing<EndpointState> ring = new HashRing<>();
     private long visits;
     private int total;
 
     private void removeGone() {
-        ring.removeIf(node -> node.phase == Phase.GONE);
-        nodes.values().forEach(node -> node.onRing &= node.phase != Phase.GONE);
-        nodes.values().removeIf(node -> node.phase == Phase.GONE && node.inFlight == 0);
+        ring.removeIf(node -> node.phase == EndpointPhase.GONE);
+        nodes.values().forEach(node -> node.onRing &= node.phase != EndpointPhase.GONE);
+        nodes.values().removeIf(node -> node.phase == EndpointPhase.GONE && node.inFlight == 0);
     }
 
     /** The ring's hash: the finalizer of SplitMix64. */
@@ -240,8 +240,8 @@
         return (CAP_NUM * wide * (total + 1) + divisor - 1) / divisor;
     }
 
-    private Node walk(Task task) {
-        Node near = keepsNear(task) ? walk(task, true) : null;
+    private EndpointState walk(ActiveRequest task) {
+        EndpointState near = keepsNear(task) ? walk(task, true) : null;
         return near != null ? near : walk(task, false);
     }
 
@@ -249,22 +249,22 @@
      * Walks clockwise to the first replica that may take the task and is below the cap, else to the first that may take
      * it; null if none. Near: only replicas of this router's zone are met and counted.
      */
-    private Node walk(Task task, boolean near) {
+    private EndpointState walk(ActiveRequest task, boolean near) {
         if (ring.size() == 0) {
             return null;
         }
         int replicas = near ? nearReady : warmReady();
         long key = ringKey(task, replicas);
-        int at = ring.first(key);
-        Node fallback = null;
+        int at = ring.firstIndexFor(key);
+        EndpointState fallback = null;
         long limit = Math.max(QUIET_CAP, cap(near ? nearTotal : total, replicas, wide));
         double quickest = quickestPace();
         long mark = ++visits;
         int left = near ? nearReady : ready;
         for (int i = at, seen = 0; seen < ring.size() && left > 0; seen++) {
-            Node node = ring.server(i);
+            EndpointState node = ring.endpointAt(i);
             i = i + 1 == ring.size() ? 0 : i + 1;
-            if (node.visit == mark || node.phase != Phase.READY || near && node.zone != settings.zone()) {
+            if (node.visit == mark || node.phase != EndpointPhase.READY || near && node.zone != settings.zone()) {
                 continue;
             }
             node.visit = mark;
@@ -272,8 +272,8 @@
             if (!permitted(task, node) || task.tried(node)) {
                 continue;
             }
-            boolean rests = node.suspectUntil > now || node.cold && now < node.coldNextAt;
-            if (rests || lost(node) || node.waiting >= node.room) {
+            boolean rests = node.ejectedUntil > now || node.inSlowStart && now < node.slowStartNextAttemptAt;
+            if (rests || lost(node) || node.awaitingFirstToken >= node.capacity) {
                 continue;
             }
             if (node.inFlight < capOf(node, limit, task) && keeps(key, node, quickest)) {
@@ -308,12 +308,13 @@
     static final double PRIOR_REQUESTS = 16;
     static final double SPREAD_LIMIT = 0.25;
     static final int RECENT_PER_REPLICA = 8;
-    private final RecentRequests recent = new RecentRequests();
+    private final RecentKeys recent = new RecentKeys();
 
-    private long ringKey(Task task, int replicas) {
+    private long ringKey(ActiveRequest task, int replicas) {
         double seen = recent.size();
-        boolean prefix = task.key != task.session && recent.knows(task.key);
-        double need = !prefix ? 1 : recent.part(task.key) * replicas / PLACE_SHARE * seen / (seen + PRIOR_REQUESTS);
+        boolean prefix = task.key != task.session && recent.contains(task.key);
+        double need =
+                !prefix ? 1 : recent.workFraction(task.key) * replicas / PLACE_SHARE * seen / (seen + PRIOR_REQUESTS);
         long places = 1;
         while (places < need) {
             places *= 2;
@@ -330,8 +331,8 @@
      */
     static final double ZONE_EXCESS = 0.5;
 
-    private boolean keepsNear(Task task) {
-        return settings.costs().crossZone() > settings.costs().waste()
+    private boolean keepsNear(ActiveRequest task) {
+        return settings.costs().crossZone() > settings.costs().wastedWork()
                 && nearReady > 0
                 && zones > 1
                 && (mix(~task.session) >>> 11) * 0x1p-53 < ZONE_EXCESS / (zones - 1);
@@ -366,11 +367,11 @@
 
     private double usualLag;
 
-    private long capOf(Node node, long limit, Task task) {
-        double lag = Math.max(node.lag, node.waiting > 0 ? now - node.waitingSince : 0);
+    private long capOf(EndpointState node, long limit, ActiveRequest task) {
+        double lag = Math.max(node.firstTokenLatency, node.awaitingFirstToken > 0 ? now - node.silentSince : 0);
         double bearable = LAG_OUTLIER * Math.max(usualLag, MIN_LAG * task.aim);
         double part = lag <= bearable ? 1 : bearable / lag;
-        part *= node.cold ? present(node) : 1;
+        part *= node.inSlowStart ? present(node) : 1;
         part *= drainsNext(node) && middle(this::paceOf) < MAX_SLOWDOWN * bestPace ? NEXT_TO_DRAIN_CAP : 1;
         return Math.max(1, (long) (limit * part));
     }
@@ -379,7 +380,7 @@
      * A replica slower than the quickest kind keeps so many of its keys, the same ones at every router. Held against
      * the middle one, a slower kind that has most of the replicas would keep them all.
      */
-    private boolean keeps(long key, Node node, double quickest) {
+    private boolean keeps(long key, EndpointState node, double quickest) {
         return (mix(key ^ mix(node.id)) >>> 11) * 0x1p-53 < quickest / paceOf(node);
     }
 
@@ -393,15 +394,15 @@
     }
 
     /** What is usual follows no slow replica: a first token counts LAG_OUTLIER times the usual at most. */
-    private void judgeLag(Node node, double took) {
+    private void judgeLag(EndpointState node, double took) {
         usualLag += usualLag == 0 ? took : (Math.min(took, LAG_OUTLIER * usualLag) - usualLag) / 64;
-        node.lag += (took - node.lag) / 8;
+        node.firstTokenLatency += (took - node.firstTokenLatency) / 8;
     }
 
     /** One attempt fewer waits for this replica's first token; a sign of life if the replica ended it. */
-    private void heard(Node node, boolean sign) {
-        node.waiting--;
-        node.waitingSince = sign ? now : node.waitingSince;
+    private void heard(EndpointState node, boolean sign) {
+        node.awaitingFirstToken--;
+        node.silentSince = sign ? now : node.silentSince;
     }
 
     /**
@@ -427,12 +428,12 @@
     /** Where many started together, none of them is known to be the next. */
     private void findNextToDrain() {
         long[] starts =
-                readyNodes.stream().mapToLong(node -> node.readyAt).sorted().toArray();
+                readyNodes.stream().mapToLong(node -> node.startedAt).sorted().toArray();
         drainsNextBefore = starts.length >= 2 * NEXT_TO_DRAIN ? starts[NEXT_TO_DRAIN] : 0;
     }
 
-    private boolean drainsNext(Node node) {
-        return now < releaseUntil && node.readyAt < drainsNextBefore;
+    private boolean drainsNext(EndpointState node) {
+        return now < releaseUntil && node.startedAt < drainsNextBefore;
     }
 
     /**
@@ -445,12 +446,12 @@
     /** Some sessions always pass: with none, no answer could show that the trouble is over. */
     static final double MAX_SHED = 0.9;
 
-    private static void judgeLoad(Node node, boolean late) {
-        node.late += ((late ? 1 : 0) - node.late) / 16;
+    private static void judgeLoad(EndpointState node, boolean late) {
+        node.lateFraction += ((late ? 1 : 0) - node.lateFraction) / 16;
     }
 
     /** The middle one of the ready replicas' figures. */
-    private double middle(ToDoubleFunction<Node> figure) {
+    private double middle(ToDoubleFunction<EndpointState> figure) {
         int count = readyNodes.size();
         if (count == 0) {
             return 0;
@@ -461,13 +462,13 @@
         for (int i = 0; i < count; i++) {
             figures[i] = figure.applyAsDouble(readyNodes.get(i));
         }
-        return Selection.upperMedian(figures, count);
+        return OrderStatistics.upperMedian(figures, count);
     }
 
-    private boolean sheds(Task task) {
+    private boolean sheds(ActiveRequest task) {
         double slow = 1 - SLOW_STREAMS * bestPace / middle(this::paceOf);
-        double part = Math.max(middle(n -> n.late) - OVERLOAD_THRESHOLD, slow);
-        part *= claim(task.request.tenant());
+        double part = Math.max(middle(n -> n.lateFraction) - OVERLOAD_THRESHOLD, slow);
+        part *= claim(task.request.tenantIndex());
         return part > 0 && (mix(task.session ^ 0x5ca1ab1eL) >>> 11) * 0x1p-53 < Math.min(MAX_SHED, part);
     }
 
@@ -524,15 +525,17 @@
         double streams;
     }
 
-    private double paceOf(Node node) {
-        int own = Math.min(node.streams, 16);
+    private double paceOf(EndpointState node) {
+        int own = Math.min(node.streamSamples, 16);
         double all = own + KIND_PRIOR_STREAMS;
-        return node.kind.streams == 0 ? node.pace : (own * node.pace + KIND_PRIOR_STREAMS * node.kind.pace) / all;
+        return node.kind.streams == 0
+                ? node.streamSlowdown
+                : (own * node.streamSlowdown + KIND_PRIOR_STREAMS * node.kind.pace) / all;
     }
 
-    private void judgePace(Node node, Task task, double took) {
+    private void judgePace(EndpointState node, ActiveRequest task, double took) {
         double stream = Math.max(MIN_LAG * task.aim, took) / task.tokens;
-        int type = task.request.type();
+        int type = task.request.classIndex();
         if (type < 0 || type >= typicalStream.length) {
             return;
         }
@@ -541,7 +544,7 @@
             typicalStream[type] += (stream - typicalStream[type]) / seen;
         }
         double ratio = Math.min(MAX_STREAM_RATIO, stream / typicalStream[type]);
-        node.pace += (ratio - node.pace) / Math.min(++node.streams, 16);
+        node.streamSlowdown += (ratio - node.streamSlowdown) / Math.min(++node.streamSamples, 16);
         KindPace kind = node.kind;
         kind.pace += (ratio - kind.pace) / Math.min(++kind.streams, 64);
         if (seen > 2 * STREAM_SAMPLES) {
@@ -555,45 +558,47 @@
      * unread, and begins at a moment of its own so that many quiet routers don't each send one at once: at any until it
      * is warm where no load tells its part, unless all are cold.
      */
-    private final List<Node> coldNodes = new ArrayList<>();
+    private final List<EndpointState> coldNodes = new ArrayList<>();
 
     private long nextWarm = Long.MAX_VALUE;
     private double workRate;
     private long workRateAt;
     private double meanCost;
 
-    private void restarted(Node node, long readyAt) {
-        node.readyAt = readyAt;
-        node.failures = 0;
-        node.suspectUntil = 0;
-        node.lag = 0;
-        node.late = 0;
-        boolean isCold = readyAt > 0 && now - readyAt < settings.rules().cold();
-        if (isCold && !node.cold) {
+    private void restarted(EndpointState node, long readyAt) {
+        node.startedAt = readyAt;
+        node.consecutiveFailures = 0;
+        node.ejectedUntil = 0;
+        node.firstTokenLatency = 0;
+        node.lateFraction = 0;
+        boolean isCold =
+                readyAt > 0 && now - readyAt < settings.endpointLifecycle().slowStartWindowNanos();
+        if (isCold && !node.inSlowStart) {
             coldNodes.add(node);
         }
-        node.cold = isCold || node.cold;
+        node.inSlowStart = isCold || node.inSlowStart;
         if (isCold) {
-            nextWarm = Math.min(nextWarm, readyAt + settings.rules().cold());
-            double first =
-                    meanCost > 0 ? coldGap(node, meanCost) : settings.rules().cold();
-            node.coldNextAt = now + (long) (random.nextDouble() * first);
+            nextWarm = Math.min(nextWarm, readyAt + settings.endpointLifecycle().slowStartWindowNanos());
+            double first = meanCost > 0
+                    ? coldGap(node, meanCost)
+                    : settings.endpointLifecycle().slowStartWindowNanos();
+            node.slowStartNextAttemptAt = now + (long) (random.nextDouble() * first);
         }
     }
 
     /** How long a cold replica must rest after work of this cost, given this router's part of its budget. */
-    private double coldGap(Node node, double cost) {
-        Rules rules = settings.rules();
-        double budget = present(node) * (1 + rules.tipMultiple()) / 2;
+    private double coldGap(EndpointState node, double cost) {
+        EndpointLifecycle rules = settings.endpointLifecycle();
+        double budget = present(node) * (1 + rules.slowStartOverloadMultiple()) / 2;
         double rate = budget * decayedRate() / Math.max(1, warmReady());
         return Math.min(NEVER, cost / Math.max(rate, 1e-12));
     }
 
     /** The part of its capacity that a warming replica has by now. */
-    private double present(Node node) {
-        Rules rules = settings.rules();
-        double age = Math.max(0, now - node.readyAt) / (double) rules.cold();
-        return Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * age);
+    private double present(EndpointState node) {
+        EndpointLifecycle rules = settings.endpointLifecycle();
+        double age = Math.max(0, now - node.startedAt) / (double) rules.slowStartWindowNanos();
+        return Math.min(1, rules.slowStartInitialCapacity() + (1 - rules.slowStartInitialCapacity()) * age);
     }
 
     /** This router's own work sent a nanosecond, over about ten seconds. */
@@ -613,10 +618,10 @@
         }
         nextWarm = Long.MAX_VALUE;
         coldNodes.removeIf(node -> {
-            long warmAt = node.readyAt + settings.rules().cold();
-            node.cold = now < warmAt;
-            nextWarm = node.cold ? Math.min(nextWarm, warmAt) : nextWarm;
-            return !node.cold;
+            long warmAt = node.startedAt + settings.endpointLifecycle().slowStartWindowNanos();
+            node.inSlowStart = now < warmAt;
+            nextWarm = node.inSlowStart ? Math.min(nextWarm, warmAt) : nextWarm;
+            return !node.inSlowStart;
         });
         recount();
     }
@@ -629,8 +634,8 @@
     // ---- Request life ---------------------------------------------------------------------------------
 
     /** A request that this router holds. */
-    private static final class Task {
-        final Request request;
+    private static final class ActiveRequest {
+        final RequestArrived request;
         final RequestClass type;
         final long key;
         final long session;
@@ -642,35 +647,35 @@
         int out;
         boolean closed;
 
-        Task(Request request, RequestClass type, long now) {
+        ActiveRequest(RequestArrived request, RequestClass type, long now) {
             this.request = request;
             this.type = type;
-            long own = request.session() != 0 ? request.session() : mix(request.id());
+            long own = request.sessionKey() != 0 ? request.sessionKey() : mix(request.requestId());
             this.session = own;
-            this.key = request.prefix() != 0 ? request.prefix() : own;
+            this.key = request.prefixKey() != 0 ? request.prefixKey() : own;
             double prompt = sane(request.promptTokens());
             this.tokens = 1 + sane(request.maxTokens());
             this.work = prompt + tokens;
-            long deadline = now + Math.max(0, Math.min(request.expiresIn(), Long.MAX_VALUE - now));
-            this.aim = type.aim() + prompt * type.aimPerToken();
-            this.lastUse = type.lateWorth() > 0 || aim >= deadline - now ? deadline : now + (long) aim;
+            long deadline = now + Math.max(0, Math.min(request.timeoutNanos(), Long.MAX_VALUE - now));
+            this.aim = type.firstTokenObjectiveNanos() + prompt * type.firstTokenObjectivePerPromptTokenNanos();
+            this.lastUse = type.lateWeight() > 0 || aim >= deadline - now ? deadline : now + (long) aim;
         }
 
-        boolean tried(Node node) {
+        boolean tried(EndpointState node) {
             return !attempts.isEmpty() && attempts.stream().anyMatch(attempt -> attempt.node == node);
         }
     }
 
     /** One attempt of a task. */
     private static final class Attempt {
-        final Node node;
+        final EndpointState node;
         final long sentAt;
         boolean out = true;
         boolean mayHaveRun = true;
         boolean streaming;
         long firstToken;
 
-        Attempt(Node node, long sentAt) {
+        Attempt(EndpointState node, long sentAt) {
             this.node = node;
             this.sentAt = sentAt;
         }
@@ -680,8 +685,8 @@
         return x > 0 && x < 1e9 ? x : 0;
     }
 
-    private final Map<Long, Task> tasks = new HashMap<>();
-    private final ArrayDeque<Task> held = new ArrayDeque<>();
+    private final Map<Long, ActiveRequest> tasks = new HashMap<>();
+    private final ArrayDeque<ActiveRequest> held = new ArrayDeque<>();
     private boolean heldTimer;
     private final double retryBurst;
     private double retryCredit;
@@ -694,13 +699,13 @@
 
     static final double RETRY_BURST = 10;
 
-    private void arrived(Request request) {
+    private void arrived(RequestArrived request) {
         warmUp();
-        Task task = new Task(request, settings.requestClass(request.type()), now);
-        tasks.put(request.id(), task);
+        ActiveRequest task = new ActiveRequest(request, settings.requestClass(request.classIndex()), now);
+        tasks.put(request.requestId(), task);
         retryCredit = Math.min(retryBurst, retryCredit + RETRY_PART);
         recent.add(task.key, task.work, RECENT_PER_REPLICA * Math.max(16, ready));
-        countTenant(request.tenant());
+        countTenant(request.tenantIndex());
         if (sheds(task)) {
             giveUp(task);
         } else {
@@ -709,8 +714,8 @@
     }
 
     /** Sends the task's next attempt, or holds the task while no replica may take it. */
-    private void place(Task task) {
-        Node node = now < task.lastUse ? walk(task) : null;
+    private void place(ActiveRequest task) {
+        EndpointState node = now < task.lastUse ? walk(task) : null;
         if (node != null) {
             send(task, node);
         } else if (now < task.lastUse && task.attempts.isEmpty()) {
@@ -721,16 +726,16 @@
         }
     }
 
-    private void send(Task task, Node node) {
+    private void send(ActiveRequest task, EndpointState node) {
         task.attempts.add(new Attempt(node, now));
         task.out++;
         count(node, 1);
-        node.waitingSince = node.waiting++ == 0 ? now : node.waitingSince;
-        if (node.cold) {
-            node.coldNextAt = now + (long) coldGap(node, task.work);
+        node.silentSince = node.awaitingFirstToken++ == 0 ? now : node.silentSince;
+        if (node.inSlowStart) {
+            node.slowStartNextAttemptAt = now + (long) coldGap(node, task.work);
         }
         countWork(task.work);
-        sink.act(new Send(task.request.id(), node.id, stopAt(task)));
+        sink.perform(new StartAttempt(task.request.requestId(), node.id, stopAt(task)));
     }
 
     /**
@@ -742,13 +747,16 @@
 
     static final double FIRST_TOKEN_OUTLIER = 6;
 
-    private long stopAt(Task task) {
-        boolean early = task.type.effect() == Effect.SAFE && task.attempts.size() == 1 && retryCredit >= 1 && ready > 1;
+    private long stopAt(ActiveRequest task) {
+        boolean early = task.type.idempotency() == Idempotency.IDEMPOTENT
+                && task.attempts.size() == 1
+                && retryCredit >= 1
+                && ready > 1;
         double patience = Math.max(FIRST_TOKEN_TIMEOUT * task.aim, FIRST_TOKEN_OUTLIER * usualLag);
         return early && patience < task.lastUse - now ? now + (long) patience : task.lastUse;
     }
 
-    private void count(Node node, int change) {
+    private void count(EndpointState node, int change) {
         node.inFlight += change;
         total += change;
         nearTotal += node.zone == settings.zone() ? change : 0;
@@ -757,7 +765,7 @@
     private void armHeld() {
         if (!heldTimer && !held.isEmpty()) {
             heldTimer = true;
-            sink.act(new Timer(now + 5 * settings.tick(), HELD_TIMER));
+            sink.perform(new SetTimer(now + 5 * settings.tickNanos(), HELD_TIMER));
         }
     }
 
@@ -765,12 +773,12 @@
     private void serveHeld() {
         warmUp();
         for (int n = held.size(); n > 0; n--) {
-            Task task = held.poll();
+            ActiveRequest task = held.poll();
             if (task.closed) {
                 continue;
             }
-            Node node = walk(task);
-            if (now + 10 * settings.tick() >= task.lastUse) {
+            EndpointState node = walk(task);
+            if (now + 10 * settings.tickNanos() >= task.lastUse) {
                 giveUp(task);
             } else if (node != null) {
                 send(task, node);
@@ -780,23 +788,23 @@
         }
     }
 
-    private void started(Started event) {
-        Task task = tasks.get(event.request());
+    private void started(ResponseStarted event) {
+        ActiveRequest task = tasks.get(event.requestId());
         if (task == null || event.attempt() >= task.attempts.size()) {
             return;
         }
         Attempt attempt = task.attempts.get(event.attempt());
         attempt.streaming = true;
-        attempt.firstToken = event.took();
+        attempt.firstToken = event.elapsedNanos();
         heard(attempt.node, true);
-        judgeLag(attempt.node, event.took());
+        judgeLag(attempt.node, event.elapsedNanos());
         answered(attempt.node, false);
-        judgeLoad(attempt.node, event.took() > task.aim * 0.8);
+        judgeLoad(attempt.node, event.elapsedNanos() > task.aim * 0.8);
         close(task);
     }
 
-    private void ended(Ended event) {
-        Task task = tasks.get(event.request());
+    private void ended(AttemptEnded event) {
+        ActiveRequest task = tasks.get(event.requestId());
         if (task == null || event.attempt() >= task.attempts.size()) {
             return;
         }
@@ -804,41 +812,41 @@
         if (!attempt.out) {
             return;
         }
-        Node node = attempt.node;
-        boolean silent = event.outcome() == Outcome.TIMEOUT || event.outcome() == Outcome.STALLED;
+        EndpointState node = attempt.node;
+        boolean silent = event.outcome() == AttemptOutcome.TIMEOUT || event.outcome() == AttemptOutcome.STALLED;
         attempt.out = false;
         attempt.mayHaveRun = event.outcome().mayHaveRun();
         task.out--;
         count(node, -1);
         if (!attempt.streaming) {
-            heard(node, !silent && event.outcome() != Outcome.CANCELLED);
+            heard(node, !silent && event.outcome() != AttemptOutcome.CANCELLED);
         }
         if (silent && !attempt.streaming) {
-            judgeLag(node, event.took());
+            judgeLag(node, event.elapsedNanos());
         }
         judge(node, event.outcome(), attempt.streaming);
-        if (event.outcome() == Outcome.SERVED && attempt.streaming) {
-            judgePace(node, task, event.took() - attempt.firstToken);
+        if (event.outcome() == AttemptOutcome.SERVED && attempt.streaming) {
+            judgePace(node, task, event.elapsedNanos() - attempt.firstToken);
         }
-        if (silent && !attempt.streaming || event.outcome() == Outcome.FULL) {
+        if (silent && !attempt.streaming || event.outcome() == AttemptOutcome.FULL) {
             judgeLoad(node, true);
         }
-        if (event.over() || event.outcome() == Outcome.SERVED) {
+        if (event.requestFinished() || event.outcome() == AttemptOutcome.SERVED) {
             close(task);
         } else if (!task.closed && task.out == 0) {
             again(task, event.outcome());
         }
         if (task.closed && task.out == 0) {
-            tasks.remove(task.request.id());
+            tasks.remove(task.request.requestId());
         }
     }
 
     /** All attempts so far have failed: one more within the rules and the budget, else the final answer. */
-    private void again(Task task, Outcome outcome) {
-        boolean free = outcome == Outcome.CONNECT_FAILED;
+    private void again(ActiveRequest task, AttemptOutcome outcome) {
+        boolean free = outcome == AttemptOutcome.CONNECT_FAILED;
         boolean budget = (free || retryCredit >= 1)
-                && task.attempts.size() < settings.limits().attempts();
-        if (budget && outcome != Outcome.CANCELLED && now < task.lastUse) {
+                && task.attempts.size() < settings.limits().maxAttempts();
+        if (budget && outcome != AttemptOutcome.CANCELLED && now < task.lastUse) {
             retryCredit -= free ? 0 : 1;
             place(task);
         } else {
@@ -847,22 +855,23 @@
     }
 
     /** Whether the effect rules let the task go to this replica. */
-    private boolean permitted(Task task, Node node) {
+    private boolean permitted(ActiveRequest task, EndpointState node) {
         Attempt first = firstThatMayHaveRun(task);
-        if (task.type.effect() == Effect.SAFE || first == null) {
+        if (task.type.idempotency() == Idempotency.IDEMPOTENT || first == null) {
             return true;
         }
-        if (task.type.effect() == Effect.UNSAFE || now - first.sentAt >= task.type.window()) {
+        if (task.type.idempotency() == Idempotency.NOT_IDEMPOTENT
+                || now - first.sentAt >= task.type.idempotencyWindowNanos()) {
             return false;
         }
-        return switch (task.type.group()) {
+        return switch (task.type.idempotencyScope()) {
             case ALL -> true;
             case ZONE -> node.zone == first.node.zone;
             case CELL -> node.zone == first.node.zone && node.cell == first.node.cell;
         };
     }
 
-    private static Attempt firstThatMayHaveRun(Task task) {
+    private static Attempt firstThatMayHaveRun(ActiveRequest task) {
         return task.attempts.stream()
                 .filter(attempt -> attempt.mayHaveRun)
                 .findFirst()
@@ -870,38 +879,39 @@
     }
 
     /** The final answer when there is nothing more to try: a refusal where the rules let it be one. */
-    private void giveUp(Task task) {
-        boolean refusable = task.type.refusable(firstThatMayHaveRun(task) != null);
-        sink.act(
+    private void giveUp(ActiveRequest task) {
+        boolean refusable = task.type.isRejectable(firstThatMayHaveRun(task) != null);
+        sink.perform(
                 refusable
-                        ? new Refuse(task.request.id(), settings.limits().maxRetryAfter())
-                        : new Fail(task.request.id()));
+                        ? new RejectRequest(
+                                task.request.requestId(), settings.limits().maxRetryAfterNanos())
+                        : new FailRequest(task.request.requestId()));
         close(task);
     }
 
     /** The task has its final answer; its attempts still count until each has ended. */
-    private void close(Task task) {
+    private void close(ActiveRequest task) {
         if (!task.closed) {
             task.closed = true;
-            for (int i = 0; i < task.attempts.size() && settings.limits().cancel(); i++) {
+            for (int i = 0; i < task.attempts.size() && settings.limits().cancellation(); i++) {
                 Attempt attempt = task.attempts.get(i);
                 if (attempt.out && !attempt.streaming) {
-                    sink.act(new Cancel(task.request.id(), i));
+                    sink.perform(new CancelAttempt(task.request.requestId(), i));
                 }
             }
         }
         if (task.out == 0) {
-            tasks.remove(task.request.id());
+            tasks.remove(task.request.requestId());
         }
     }
 
     // ---- Health ---------------------------------------------------------------------------------------
 
-    private void answered(Node node, boolean whole) {
+    private void answered(EndpointState node, boolean whole) {
         lostCount = node.zone == lostZone ? 0 : lostCount;
         node.stalls = whole ? 0 : node.stalls;
-        node.failures = node.stalls;
-        node.suspectUntil = node.stalls > 0 ? node.suspectUntil : 0;
+        node.consecutiveFailures = node.stalls;
+        node.ejectedUntil = node.stalls > 0 ? node.ejectedUntil : 0;
     }
 
     /**
@@ -909,23 +919,23 @@
      * in a row otherwise, is walked past for a second, doubled with each further failure up to sixteen; the first
      * answer ends it. After a stall in mid-answer it is at once, until an answer is whole.
      */
-    private void judge(Node node, Outcome outcome, boolean streaming) {
-        if (outcome == Outcome.SERVED) {
+    private void judge(EndpointState node, AttemptOutcome outcome, boolean streaming) {
+        if (outcome == AttemptOutcome.SERVED) {
             answered(node, true);
-        } else if (outcome == Outcome.ERROR
-                || outcome == Outcome.RESET
-                || outcome == Outcome.CONNECT_FAILED
-                || outcome == Outcome.STALLED && streaming) {
-            node.stalls += outcome == Outcome.STALLED ? 2 : 0;
-            node.failures = Math.max(node.failures + 1, node.stalls);
-            boolean counts = node.failures == 1 || lostCount >= LOST_ZONE_FAILURES;
-            if (outcome == Outcome.CONNECT_FAILED && counts) {
+        } else if (outcome == AttemptOutcome.ERROR
+                || outcome == AttemptOutcome.RESET
+                || outcome == AttemptOutcome.CONNECT_FAILED
+                || outcome == AttemptOutcome.STALLED && streaming) {
+            node.stalls += outcome == AttemptOutcome.STALLED ? 2 : 0;
+            node.consecutiveFailures = Math.max(node.consecutiveFailures + 1, node.stalls);
+            boolean counts = node.consecutiveFailures == 1 || lostCount >= LOST_ZONE_FAILURES;
+            if (outcome == AttemptOutcome.CONNECT_FAILED && counts) {
                 lostCount = node.zone == lostZone ? lostCount + 1 : 1;
                 lostZone = node.zone;
                 lostUntil = now + SECOND;
             }
-            if (node.failures > 1 || outcome == Outcome.CONNECT_FAILED) {
-                node.suspectUntil = now + (SECOND << Math.min(node.failures - 1, 4));
+            if (node.consecutiveFailures > 1 || outcome == AttemptOutcome.CONNECT_FAILED) {
+                node.ejectedUntil = now + (SECOND << Math.min(node.consecutiveFailures - 1, 4));
             }
         }
     }
@@ -940,7 +950,7 @@
     private int lostCount;
     private long lostUntil;
 
-    private boolean lost(Node node) {
+    private boolean lost(EndpointState node) {
         return zones > 1 && lostCount >= LOST_ZONE_FAILURES && node.zone == lostZone && now < lostUntil;
     }
 
--- a/node/src/main/java/fawnlb/policy/HashRing.java
+++ b/node/src/main/java/fawnlb/policy/HashRing.java
@@ -9,7 +9,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * A consistent-hash ring: each server has {@link #POINTS} points on it, and a key belongs to the first point clockwise.
+ * A consistent-hash ring: each server has {@link #POINTS_PER_ENDPOINT} points on it, and a key belongs to the first
+ * point clockwise.
  *
  * <p>The points stand in one sorted array, a server's number in the low bits of each, so that a ring of thousands of
  * servers is a few megabytes without objects. Servers join and leave by merging or leaving out their own points in one
@@ -18,7 +19,7 @@
  */
 final class HashRing<T> {
     /** Points of a server on the ring. */
-    static final int POINTS = 200;
+    static final int POINTS_PER_ENDPOINT = 200;
     /** Enough for more servers than the longest list can name. */
     private static final int NUMBER_BITS = 17;
 
@@ -39,13 +40,13 @@
     }
 
     /** The server that a point belongs to. */
-    T server(int index) {
+    T endpointAt(int index) {
         return servers.get((int) (points[index] & NUMBER_MASK));
     }
 
     /** The index of the first point at or clockwise of the key's hash; the ring must not be empty. */
-    int first(long key) {
-        long hash = Choice.mix(key) & ~NUMBER_MASK;
+    int firstIndexFor(long key) {
+        long hash = BoundedLoadBalancer.mix(key) & ~NUMBER_MASK;
         int found = Arrays.binarySearch(points, 0, size, hash);
         int index = found >= 0 ? found : -1 - found;
         return index == size ? 0 : index;
@@ -53,13 +54,13 @@
 
     /** Adds servers that are not on the ring yet. */
     void add(List<T> joined, ToLongFunction<T> id) {
-        long[] added = new long[joined.size() * POINTS];
+        long[] added = new long[joined.size() * POINTS_PER_ENDPOINT];
         int count = 0;
         for (T server : joined) {
             long number = number(server);
-            long seed = Choice.mix(id.applyAsLong(server));
-            for (int i = 0; i < POINTS; i++) {
-                added[count++] = Choice.mix(seed + i) & ~NUMBER_MASK | number;
+            long seed = BoundedLoadBalancer.mix(id.applyAsLong(server));
+            for (int i = 0; i < POINTS_PER_ENDPOINT; i++) {
+                added[count++] = BoundedLoadBalancer.mix(seed + i) & ~NUMBER_MASK | number;
             }
         }
         Arrays.sort(added);
@@ -94,25 +95,25 @@
     }
 
     /** Removes the servers that are gone, with all their points. */
-    void removeIf(Predicate<T> gone) {
-        boolean[] leaves = new boolean[servers.size()];
-        boolean any = false;
-        for (int number = 0; number < leaves.length; number++) {
-            leaves[number] = servers.get(number) != null && gone.test(servers.get(number));
-            any |= leaves[number];
+    void removeIf(Predicate<T> condition) {
+        boolean[] isRemoved = new boolean[servers.size()];
+        boolean anyRemoved = false;
+        for (int number = 0; number < isRemoved.length; number++) {
+            isRemoved[number] = servers.get(number) != null && condition.test(servers.get(number));
+            anyRemoved |= isRemoved[number];
         }
-        if (!any) {
+        if (!anyRemoved) {
             return;
         }
         int kept = 0;
         for (int i = 0; i < size; i++) {
-            if (!leaves[(int) (points[i] & NUMBER_MASK)]) {
+            if (!isRemoved[(int) (points[i] & NUMBER_MASK)]) {
                 points[kept++] = points[i];
             }
         }
         size = kept;
-        for (int number = 0; number < leaves.length; number++) {
-            if (leaves[number]) {
+        for (int number = 0; number < isRemoved.length; number++) {
+            if (isRemoved[number]) {
                 servers.set(number, null);
                 freeNumbers.add(number);
             }
--- a/node/src/main/java/fawnlb/policy/Selection.java
+++ b/node/src/main/java/fawnlb/policy/OrderStatistics.java
@@ -1,16 +1,16 @@
 package fawnlb.policy;
 
 /** The value that stands at a place of an array in ascending order, found without sorting all of it. */
-final class Selection {
-    private Selection() {}
+final class OrderStatistics {
+    private OrderStatistics() {}
 
     /** The upper median of the first {@code count} values, which are reordered; {@code count} is above 0. */
     static double upperMedian(double[] values, int count) {
-        return select(values, count, count / 2);
+        return quickselect(values, count, count / 2);
     }
 
     /** Hoare's quickselect. */
-    private static double select(double[] values, int count, int place) {
+    private static double quickselect(double[] values, int count, int rank) {
         int low = 0;
         int high = count - 1;
         while (low < high) {
@@ -30,14 +30,14 @@
                     values[right--] = swapped;
                 }
             }
-            if (place <= right) {
+            if (rank <= right) {
                 high = right;
-            } else if (place >= left) {
+            } else if (rank >= left) {
                 low = left;
             } else {
-                return values[place];
+                return values[rank];
             }
         }
-        return values[place];
+        return values[rank];
     }
 }
--- a/node/src/main/java/fawnlb/snapshot/Snapshot.java
+++ b/node/src/main/java/fawnlb/snapshot/Snapshot.java
@@ -1,22 +1,22 @@
 package fawnlb.snapshot;
 
-import fawnlb.discovery.Member;
+import fawnlb.discovery.DiscoveredEndpoint;
 import java.util.List;
 
 /**
- * The list of backends as a node remembers it. {@code savedAt}: when it was written, in milliseconds since the Unix
- * epoch by the wall clock of the node that wrote it; {@code revision}: discovery's, of the last news in it.
+ * The list of backends as a node remembers it. {@code savedAtMillis}: when it was written, in milliseconds since the
+ * Unix epoch by the wall clock of the node that wrote it; {@code revision}: discovery's, of the last news in it.
  */
-public record Snapshot(long savedAt, long revision, List<Entry> entries) {
+public record Snapshot(long savedAtMillis, long revision, List<Entry> entries) {
 
     /**
      * A backend: when discovery last named it and when it last answered, in milliseconds since the epoch, 0 for never.
      */
-    public record Entry(Member member, long listedAt, long answeredAt) {
+    public record Entry(DiscoveredEndpoint endpoint, long lastListedAtMillis, long lastResponseAtMillis) {
 
         /** The last sign that the backend was there, whoever gave it. */
-        public long heardAt() {
-            return Math.max(listedAt, answeredAt);
+        public long lastContactAtMillis() {
+            return Math.max(lastListedAtMillis, lastResponseAtMillis);
         }
     }
 }
--- a/node/src/main/java/fawnlb/snapshot/SnapshotCodec.java
+++ b/node/src/main/java/fawnlb/snapshot/SnapshotCodec.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
-import fawnlb.discovery.Member;
-import fawnlb.discovery.MemberList;
+import fawnlb.discovery.DiscoveredEndpoint;
+import fawnlb.discovery.EndpointList;
 import fawnlb.snapshot.Snapshot.Entry;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -21,131 +21,131 @@
  */
 public final class SnapshotCodec {
     /** Raised when a reader of the former version would misread the file. */
-    static final int VERSION = 1;
+    static final int FORMAT_VERSION = 1;
     /** A list of ten thousand backends takes about 2 MB; what claims more than this is not a list. */
     static final int MAX_BYTES = 16 << 20;
 
     private static final int MAGIC = 0x46574e4c;
-    private static final int HEAD = 10;
-    private static final int SUM = 4;
-    private static final CBORFactory CBOR = new CBORFactory();
+    private static final int HEADER_BYTES = 10;
+    private static final int CHECKSUM_BYTES = 4;
+    private static final CBORFactory CBOR_FACTORY = new CBORFactory();
 
     private SnapshotCodec() {}
 
     /** Why bytes are no snapshot; the message is one line. */
-    public static final class Damaged extends IOException {
+    public static final class SnapshotFormatException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Damaged(String message) {
+        SnapshotFormatException(String message) {
             super(message);
         }
     }
 
     public static byte[] encode(Snapshot snapshot) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        try (JsonGenerator out = CBOR.createGenerator(body)) {
-            out.writeStartObject();
-            out.writeNumberField("saved_ms", snapshot.savedAt());
-            out.writeNumberField("revision", snapshot.revision());
-            out.writeArrayFieldStart("targets");
+        try (JsonGenerator generator = CBOR_FACTORY.createGenerator(body)) {
+            generator.writeStartObject();
+            generator.writeNumberField("saved_ms", snapshot.savedAtMillis());
+            generator.writeNumberField("revision", snapshot.revision());
+            generator.writeArrayFieldStart("targets");
             for (Entry entry : snapshot.entries()) {
-                out.writeStartObject();
-                out.writeNumberField("listed_ms", entry.listedAt());
-                out.writeNumberField("answered_ms", entry.answeredAt());
-                out.writeFieldName("member");
-                MemberList.write(entry.member(), out);
-                out.writeEndObject();
+                generator.writeStartObject();
+                generator.writeNumberField("listed_ms", entry.lastListedAtMillis());
+                generator.writeNumberField("answered_ms", entry.lastResponseAtMillis());
+                generator.writeFieldName("member");
+                EndpointList.writeEndpoint(entry.endpoint(), generator);
+                generator.writeEndObject();
             }
-            out.writeEndArray();
-            out.writeEndObject();
+            generator.writeEndArray();
+            generator.writeEndObject();
         }
-        ByteBuffer file = ByteBuffer.allocate(HEAD + body.size() + SUM);
-        file.putInt(MAGIC).putShort((short) VERSION).putInt(body.size()).put(body.toByteArray());
-        file.putInt(sum(file.array(), file.position()));
+        ByteBuffer file = ByteBuffer.allocate(HEADER_BYTES + body.size() + CHECKSUM_BYTES);
+        file.putInt(MAGIC).putShort((short) FORMAT_VERSION).putInt(body.size()).put(body.toByteArray());
+        file.putInt(checksum(file.array(), file.position()));
         return file.array();
     }
 
     /** Every single flipped bit, and every truncation, is found: magic, length and sum are all checked. */
     public static Snapshot decode(byte[] file) throws IOException {
-        if (file.length < HEAD + SUM) {
-            throw new Damaged("truncated: " + file.length + " bytes");
+        if (file.length < HEADER_BYTES + CHECKSUM_BYTES) {
+            throw new SnapshotFormatException("truncated: " + file.length + " bytes");
         }
-        ByteBuffer in = ByteBuffer.wrap(file);
-        if (in.getInt() != MAGIC) {
-            throw new Damaged("not a snapshot");
+        ByteBuffer buffer = ByteBuffer.wrap(file);
+        if (buffer.getInt() != MAGIC) {
+            throw new SnapshotFormatException("not a snapshot");
         }
-        int version = in.getShort() & 0xffff;
-        int length = in.getInt();
-        if (length != file.length - HEAD - SUM) {
-            throw new Damaged(
-                    length > file.length - HEAD - SUM && length > 0
+        int version = buffer.getShort() & 0xffff;
+        int length = buffer.getInt();
+        if (length != file.length - HEADER_BYTES - CHECKSUM_BYTES) {
+            throw new SnapshotFormatException(
+                    length > file.length - HEADER_BYTES - CHECKSUM_BYTES && length > 0
                             ? "truncated: " + file.length + " bytes"
                             : "altered: its length does not fit");
         }
-        if (in.getInt(HEAD + length) != sum(file, HEAD + length)) {
-            throw new Damaged("altered: its checksum does not fit");
+        if (buffer.getInt(HEADER_BYTES + length) != checksum(file, HEADER_BYTES + length)) {
+            throw new SnapshotFormatException("altered: its checksum does not fit");
         }
-        if (version != VERSION) {
-            throw new Damaged("written in form " + version + ", this program reads " + VERSION);
+        if (version != FORMAT_VERSION) {
+            throw new SnapshotFormatException("written in form " + version + ", this program reads " + FORMAT_VERSION);
         }
-        try (JsonParser body = CBOR.createParser(file, HEAD, length)) {
-            return body(body);
+        try (JsonParser parser = CBOR_FACTORY.createParser(file, HEADER_BYTES, length)) {
+            return decodeBody(parser);
         }
     }
 
-    private static int sum(byte[] bytes, int length) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes, 0, length);
-        return (int) sum.getValue();
+    private static int checksum(byte[] bytes, int length) {
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, 0, length);
+        return (int) crc.getValue();
     }
 
-    private static Snapshot body(JsonParser in) throws IOException {
-        long saved = 0;
+    private static Snapshot decodeBody(JsonParser parser) throws IOException {
+        long savedAtMillis = 0;
         long revision = 0;
         List<Entry> entries = new ArrayList<>();
-        expect(in.nextToken(), JsonToken.START_OBJECT);
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String name = in.currentName();
-            in.nextToken();
-            switch (name) {
-                case "saved_ms" -> saved = in.getLongValue();
-                case "revision" -> revision = in.getLongValue();
+        requireToken(parser.nextToken(), JsonToken.START_OBJECT);
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String fieldName = parser.currentName();
+            parser.nextToken();
+            switch (fieldName) {
+                case "saved_ms" -> savedAtMillis = parser.getLongValue();
+                case "revision" -> revision = parser.getLongValue();
                 case "targets" -> {
-                    expect(in.currentToken(), JsonToken.START_ARRAY);
-                    while (in.nextToken() != JsonToken.END_ARRAY) {
-                        entries.add(entry(in));
+                    requireToken(parser.currentToken(), JsonToken.START_ARRAY);
+                    while (parser.nextToken() != JsonToken.END_ARRAY) {
+                        entries.add(decodeEntry(parser));
                     }
                 }
-                default -> in.skipChildren();
+                default -> parser.skipChildren();
             }
         }
-        return new Snapshot(saved, revision, List.copyOf(entries));
+        return new Snapshot(savedAtMillis, revision, List.copyOf(entries));
     }
 
-    private static Entry entry(JsonParser in) throws IOException {
-        expect(in.currentToken(), JsonToken.START_OBJECT);
-        long listed = 0;
-        long answered = 0;
-        Member member = null;
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String name = in.currentName();
-            in.nextToken();
-            switch (name) {
-                case "listed_ms" -> listed = in.getLongValue();
-                case "answered_ms" -> answered = in.getLongValue();
-                case "member" -> member = MemberList.member(in);
-                default -> in.skipChildren();
+    private static Entry decodeEntry(JsonParser parser) throws IOException {
+        requireToken(parser.currentToken(), JsonToken.START_OBJECT);
+        long lastListedAtMillis = 0;
+        long lastResponseAtMillis = 0;
+        DiscoveredEndpoint endpoint = null;
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String fieldName = parser.currentName();
+            parser.nextToken();
+            switch (fieldName) {
+                case "listed_ms" -> lastListedAtMillis = parser.getLongValue();
+                case "answered_ms" -> lastResponseAtMillis = parser.getLongValue();
+                case "member" -> endpoint = EndpointList.readEndpoint(parser);
+                default -> parser.skipChildren();
             }
         }
-        if (member == null) {
-            throw new Damaged("a target without an address");
+        if (endpoint == null) {
+            throw new SnapshotFormatException("a target without an address");
         }
-        return new Entry(member, listed, answered);
+        return new Entry(endpoint, lastListedAtMillis, lastResponseAtMillis);
     }
 
-    private static void expect(JsonToken found, JsonToken wanted) throws Damaged {
-        if (found != wanted) {
-            throw new Damaged("its body is no snapshot");
+    private static void requireToken(JsonToken actual, JsonToken expected) throws SnapshotFormatException {
+        if (actual != expected) {
+            throw new SnapshotFormatException("its body is no snapshot");
         }
     }
 }
--- a/node/src/main/java/fawnlb/snapshot/SnapshotStore.java
+++ b/node/src/main/java/fawnlb/snapshot/SnapshotStore.java
@@ -17,39 +17,42 @@
  * generation stands under one of the two names. One writer at a time; calls block on the disk.
  */
 public class SnapshotStore {
-    private final Path file;
-    private final Path former;
-    private final Path temporary;
+    private final Path currentFile;
+    private final Path previousFile;
+    private final Path temporaryFile;
 
     public SnapshotStore(Path file) {
-        this.file = file.toAbsolutePath();
-        this.former = this.file.resolveSibling(this.file.getFileName() + ".1");
-        this.temporary = this.file.resolveSibling(this.file.getFileName() + ".tmp");
+        this.currentFile = file.toAbsolutePath();
+        this.previousFile = this.currentFile.resolveSibling(this.currentFile.getFileName() + ".1");
+        this.temporaryFile = this.currentFile.resolveSibling(this.currentFile.getFileName() + ".tmp");
     }
 
     /**
      * What was found. {@code snapshot}: null if no generation can be used; {@code faults}: one line for each that
      * can't.
      */
-    public record Found(Snapshot snapshot, Path from, boolean future, List<String> faults) {}
+    public record ReadResult(Snapshot snapshot, Path file, boolean isFromFuture, List<String> faults) {}
 
     /** Replaces the older generation. */
     public void write(Snapshot snapshot) throws IOException {
         ByteBuffer bytes = ByteBuffer.wrap(SnapshotCodec.encode(snapshot));
-        try (FileChannel out = FileChannel.open(
-                temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel channel = FileChannel.open(
+                temporaryFile,
+                StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE,
+                StandardOpenOption.TRUNCATE_EXISTING)) {
             while (bytes.hasRemaining()) {
-                out.write(bytes);
+                channel.write(bytes);
             }
-            out.force(true);
+            channel.force(true);
         }
-        if (Files.exists(file)) {
-            Files.move(file, former, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        if (Files.exists(currentFile)) {
+            Files.move(currentFile, previousFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         }
-        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(temporaryFile, currentFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         // Without this a machine that loses power may come back with the old names.
-        try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
-            folder.force(true);
+        try (FileChannel directory = FileChannel.open(currentFile.getParent(), StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
@@ -57,19 +60,20 @@
      * The newest generation that can be read. One that says it was written later than {@code nowMillis} and the
      * tolerance tells nothing of its age: it is taken only where there is no other.
      */
-    public Found read(long nowMillis, long toleranceMillis) {
+    public ReadResult read(long nowMillis, long toleranceMillis) {
         List<String> faults = new ArrayList<>();
-        Snapshot later = null;
-        Path from = null;
-        for (Path path : new Path[] {file, former}) {
+        Snapshot futureSnapshot = null;
+        Path futureFile = null;
+        for (Path path : new Path[] {currentFile, previousFile}) {
             try {
                 Snapshot snapshot = read(path);
-                if (snapshot.savedAt() <= nowMillis + toleranceMillis) {
-                    return new Found(snapshot, path, false, faults);
+                if (snapshot.savedAtMillis() <= nowMillis + toleranceMillis) {
+                    return new ReadResult(snapshot, path, false, faults);
                 }
-                faults.add(path + ": written " + (snapshot.savedAt() - nowMillis) / 1000 + " s from now by this clock");
-                from = later == null ? path : from;
-                later = later == null ? snapshot : later;
+                faults.add(path + ": written " + (snapshot.savedAtMillis() - nowMillis) / 1000
+                        + " s from now by this clock");
+                futureFile = futureSnapshot == null ? path : futureFile;
+                futureSnapshot = futureSnapshot == null ? snapshot : futureSnapshot;
             } catch (NoSuchFileException e) {
                 // A first start has none, and a second start has one.
             } catch (IOException e) {
@@ -77,17 +81,18 @@
                         + String.valueOf(e.getMessage()).lines().findFirst().orElse(e.toString()));
             }
         }
-        return new Found(later, from, later != null, faults);
+        return new ReadResult(futureSnapshot, futureFile, futureSnapshot != null, faults);
     }
 
     /** One file, whichever generation it is. */
     public static Snapshot read(Path path) throws IOException {
-        try (FileChannel in = FileChannel.open(path, StandardOpenOption.READ)) {
-            if (in.size() > SnapshotCodec.MAX_BYTES) {
-                throw new SnapshotCodec.Damaged("too large to be a snapshot: " + in.size() + " bytes");
+        try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
+            if (channel.size() > SnapshotCodec.MAX_BYTES) {
+                throw new SnapshotCodec.SnapshotFormatException(
+                        "too large to be a snapshot: " + channel.size() + " bytes");
             }
-            ByteBuffer bytes = ByteBuffer.allocate((int) in.size());
-            while (bytes.hasRemaining() && in.read(bytes) >= 0) {
+            ByteBuffer bytes = ByteBuffer.allocate((int) channel.size());
+            while (bytes.hasRemaining() && channel.read(bytes) >= 0) {
                 // Until it is all there, or the file has become shorter: the checksum finds that.
             }
             return SnapshotCodec.decode(bytes.array());
--- a/node/src/main/java/fawnlb/stream/Signal.java
+++ b/node/src/main/java/fawnlb/stream/StreamEvent.java
@@ -1,43 +1,43 @@
 package fawnlb.stream;
 
 /** What can happen to an attempt and its stream. */
-public enum Signal {
+public enum StreamEvent {
     /** The head of an answer was read. */
-    ANSWER("a head with an answer"),
+    RESPONSE_HEAD("a head with an answer"),
     /** A head was read that is no answer. */
-    NO_ANSWER("a head with none"),
+    ERROR_HEAD("a head with none"),
     /** Bytes for the client came. */
-    PIECE("a piece"),
+    CHUNK("a piece"),
     /** Bytes came that hold nothing for the client yet. */
-    SIGN("a sign of life"),
+    PARTIAL_DATA("a sign of life"),
     /** Silent for longer than is usual. */
-    UNUSUAL("an unusual silence"),
+    SILENCE_SUSPECTED("an unusual silence"),
     /** Silent for longer than is believed. */
-    SILENCE("too long a silence"),
+    SILENCE_TIMEOUT("too long a silence"),
     /** The client could not take all of a piece. */
-    LAGS("the reader lags"),
+    CLIENT_BACKPRESSURE("the reader lags"),
     /** The client took a part of what is held for it. */
-    TAKES("the reader takes some"),
+    CLIENT_PROGRESS("the reader takes some"),
     /** The client took all that is held for it. */
-    TOOK("the reader took all"),
+    CLIENT_CAUGHT_UP("the reader took all"),
     /** The client has taken nothing for a second. */
-    IDLE("an idle reader"),
+    CLIENT_IDLE("an idle reader"),
     /** The client has taken nothing for the stated time. */
-    GIVEN_UP("the reader is given up"),
+    CLIENT_TIMEOUT("the reader is given up"),
     /** The answer is whole. */
-    LAST("the last byte"),
+    RESPONSE_COMPLETE("the last byte"),
     /** The attempt is over and gives the client nothing more: its end says why. */
-    OVER("the backend's side is over"),
+    BACKEND_ENDED("the backend's side is over"),
     /** The client's side is over. */
-    CLOSED("the client's side is over");
+    CLIENT_CLOSED("the client's side is over");
 
-    private final String words;
+    private final String label;
 
-    Signal(String words) {
-        this.words = words;
+    StreamEvent(String label) {
+        this.label = label;
     }
 
-    public String words() {
-        return words;
+    public String label() {
+        return label;
     }
 }
--- a/node/src/main/java/fawnlb/syslog/SyslogSender.java
+++ b/node/src/main/java/fawnlb/syslog/SyslogSender.java
@@ -1,7 +1,7 @@
 package fawnlb.syslog;
 
-import fawnlb.actor.Mailbox;
-import fawnlb.actor.Timers;
+import fawnlb.eventloop.Mailbox;
+import fawnlb.eventloop.Timers;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -20,18 +20,18 @@
  * no room is dropped and counted; nothing waits for the collector.
  */
 public final class SyslogSender {
-    private static final int MAX_WAITING = 512;
-    private static final long RECONNECT = 1_000_000_000L;
+    private static final int MAX_QUEUED_RECORDS = 512;
+    private static final long RECONNECT_DELAY_NANOS = 1_000_000_000L;
 
     private final XnioIoThread thread;
     private final Timers timers;
     private final Mailbox mailbox;
     private final InetSocketAddress collector;
-    private final DatagramChannel datagrams;
-    private final Deque<ByteBuffer> waiting = new ArrayDeque<>();
+    private final DatagramChannel datagramChannel;
+    private final Deque<ByteBuffer> queue = new ArrayDeque<>();
     private StreamConnection connection;
     private boolean connecting;
-    private volatile long dropped;
+    private volatile long droppedRecords;
 
     public SyslogSender(XnioIoThread thread, Timers timers, Mailbox mailbox, InetSocketAddress collector, boolean tcp)
             throws IOException {
@@ -39,46 +39,46 @@
         this.timers = timers;
         this.mailbox = mailbox;
         this.collector = collector;
-        this.datagrams = tcp ? null : DatagramChannel.open();
-        if (datagrams != null) {
-            datagrams.configureBlocking(false);
+        this.datagramChannel = tcp ? null : DatagramChannel.open();
+        if (datagramChannel != null) {
+            datagramChannel.configureBlocking(false);
         }
     }
 
     public void send(byte[] record) {
-        boolean told = mailbox.tell(() -> {
-            if (datagrams != null) {
-                datagram(record);
+        boolean accepted = mailbox.tell(() -> {
+            if (datagramChannel != null) {
+                sendDatagram(record);
                 return;
             }
-            if (waiting.size() >= MAX_WAITING) {
-                dropped++;
+            if (queue.size() >= MAX_QUEUED_RECORDS) {
+                droppedRecords++;
                 return;
             }
             byte[] count = (record.length + " ").getBytes(StandardCharsets.US_ASCII);
-            waiting.add(ByteBuffer.allocate(count.length + record.length)
+            queue.add(ByteBuffer.allocate(count.length + record.length)
                     .put(count)
                     .put(record)
                     .flip());
             if (connection != null) {
-                write();
+                writeQueue();
             } else {
                 connect();
             }
         });
-        dropped += told ? 0 : 1;
+        droppedRecords += accepted ? 0 : 1;
     }
 
     /** Records that no collector got, as far as can be seen from here. */
-    public long dropped() {
-        return dropped;
+    public long droppedRecords() {
+        return droppedRecords;
     }
 
-    private void datagram(byte[] record) {
+    private void sendDatagram(byte[] record) {
         try {
-            dropped += datagrams.send(ByteBuffer.wrap(record), collector) == 0 ? 1 : 0;
+            droppedRecords += datagramChannel.send(ByteBuffer.wrap(record), collector) == 0 ? 1 : 0;
         } catch (IOException e) {
-            dropped++;
+            droppedRecords++;
         }
     }
 
@@ -89,36 +89,36 @@
         connecting = true;
         IoFuture<StreamConnection> future = thread.openStreamConnection(collector, null, OptionMap.EMPTY);
         // A collector that never answers must not hold a descriptor for as long as the system would.
-        Timers.Timer timeout = timers.after(RECONNECT, future::cancel);
+        Timers.Timer timeout = timers.schedule(RECONNECT_DELAY_NANOS, future::cancel);
         future.addNotifier(
                 (f, none) -> thread.execute(() -> {
                     timeout.cancel();
-                    connected(f);
+                    onConnected(f);
                 }),
                 null);
     }
 
-    private void connected(IoFuture<? extends StreamConnection> future) {
+    private void onConnected(IoFuture<? extends StreamConnection> future) {
         connecting = false;
         try {
             if (future.getStatus() == IoFuture.Status.DONE) {
                 connection = future.get();
-                connection.getSinkChannel().setWriteListener(c -> write());
-                connection.getSourceChannel().setReadListener(c -> readable());
+                connection.getSinkChannel().setWriteListener(c -> writeQueue());
+                connection.getSourceChannel().setReadListener(c -> onReadable());
                 connection.getSourceChannel().resumeReads();
-                write();
+                writeQueue();
                 return;
             }
         } catch (IOException e) {
             connection = null;
         }
-        again();
+        scheduleReconnect();
     }
 
-    private void again() {
-        if (!waiting.isEmpty()) {
-            timers.after(
-                    RECONNECT,
+    private void scheduleReconnect() {
+        if (!queue.isEmpty()) {
+            timers.schedule(
+                    RECONNECT_DELAY_NANOS,
                     () -> mailbox.tellAlways(() -> {
                         if (connection == null) {
                             connect();
@@ -128,45 +128,45 @@
     }
 
     /** A collector says nothing; what can be read is its end. */
-    private void readable() {
+    private void onReadable() {
         try {
             if (connection != null && connection.getSourceChannel().read(ByteBuffer.allocate(256)) < 0) {
-                lost();
+                onConnectionLost();
             }
         } catch (IOException e) {
-            lost();
+            onConnectionLost();
         }
     }
 
-    private void lost() {
+    private void onConnectionLost() {
         IoUtils.safeClose(connection);
         connection = null;
         // A record of which a part went out can't be finished on another connection.
-        if (!waiting.isEmpty() && waiting.peek().position() > 0) {
-            waiting.poll();
-            dropped++;
+        if (!queue.isEmpty() && queue.peek().position() > 0) {
+            queue.poll();
+            droppedRecords++;
         }
-        again();
+        scheduleReconnect();
     }
 
-    private void write() {
+    private void writeQueue() {
         if (connection == null) {
             return;
         }
         try {
-            while (!waiting.isEmpty()) {
-                ByteBuffer record = waiting.peek();
+            while (!queue.isEmpty()) {
+                ByteBuffer record = queue.peek();
                 if (record.hasRemaining() && connection.getSinkChannel().write(record) == 0) {
                     connection.getSinkChannel().resumeWrites();
                     return;
                 }
                 if (!record.hasRemaining()) {
-                    waiting.poll();
+                    queue.poll();
                 }
             }
             connection.getSinkChannel().suspendWrites();
         } catch (IOException e) {
-            lost();
+            onConnectionLost();
         }
     }
 }
--- a/node/src/main/java/fawnlb/dialect/Dialect.java
+++ b/node/src/main/java/fawnlb/translation/Dialect.java
@@ -1,4 +1,4 @@
-package fawnlb.dialect;
+package fawnlb.translation;
 
 /** The two interfaces that clients and backends speak. */
 public enum Dialect {
--- a/node/src/main/java/fawnlb/dialect/ErrorBody.java
+++ b/node/src/main/java/fawnlb/translation/ErrorBody.java
@@ -1,4 +1,4 @@
-package fawnlb.dialect;
+package fawnlb.translation;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -9,7 +9,7 @@
     private ErrorBody() {}
 
     /** The error's type by HTTP status, in the messages dialect's words. */
-    public static String type(int status) {
+    public static String errorType(int status) {
         return switch (status) {
             case 400, 405 -> "invalid_request_error";
             case 401 -> "authentication_error";
@@ -24,26 +24,26 @@
     }
 
     /** The event that ends a stream with an error, as each dialect's clients know it. */
-    public static String event(Dialect dialect, int status, String message) {
-        return (dialect == Dialect.MESSAGES ? "event: error\n" : "") + "data: " + write(dialect, status, message)
+    public static String streamEvent(Dialect dialect, int status, String message) {
+        return (dialect == Dialect.MESSAGES ? "event: error\n" : "") + "data: " + json(dialect, status, message)
                 + "\n\n";
     }
 
-    public static String write(Dialect dialect, int status, String message) {
+    public static String json(Dialect dialect, int status, String message) {
         StringWriter text = new StringWriter();
-        try (JsonGenerator out = Fields.JSON.createGenerator(text)) {
-            out.writeStartObject();
+        try (JsonGenerator generator = FlatJson.JSON_FACTORY.createGenerator(text)) {
+            generator.writeStartObject();
             if (dialect == Dialect.MESSAGES) {
-                out.writeStringField("type", "error");
+                generator.writeStringField("type", "error");
             }
-            out.writeObjectFieldStart("error");
-            out.writeStringField("type", type(status));
-            out.writeStringField("message", message);
+            generator.writeObjectFieldStart("error");
+            generator.writeStringField("type", errorType(status));
+            generator.writeStringField("message", message);
             if (dialect == Dialect.CHAT) {
-                out.writeNumberField("code", status);
+                generator.writeNumberField("code", status);
             }
-            out.writeEndObject();
-            out.writeEndObject();
+            generator.writeEndObject();
+            generator.writeEndObject();
         } catch (IOException e) {
             throw new IllegalStateException("writing to memory failed", e);
         }
--- a/node/src/main/java/fawnlb/dialect/PieceWriter.java
+++ b/node/src/main/java/fawnlb/translation/ResponseEncoder.java
@@ -1,4 +1,4 @@
-package fawnlb.dialect;
+package fawnlb.translation;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -6,26 +6,26 @@
 import java.util.List;
 
 /** Writes the pieces of an answer as one dialect's events or whole answer. */
-final class PieceWriter {
+final class ResponseEncoder {
     private final Dialect dialect;
     private String id = "";
     private String model = "";
     private boolean blockOpen;
-    private boolean blockEver;
+    private boolean blockWritten;
 
-    PieceWriter(Dialect dialect) {
+    ResponseEncoder(Dialect dialect) {
         this.dialect = dialect;
     }
 
     /** What goes inside a JSON object. */
     @FunctionalInterface
-    private interface Body {
+    private interface JsonObjectBody {
         void write(JsonGenerator out) throws IOException;
     }
 
-    private static String json(Body body) throws IOException {
+    private static String json(JsonObjectBody body) throws IOException {
         StringWriter text = new StringWriter();
-        try (JsonGenerator out = Fields.JSON.createGenerator(text)) {
+        try (JsonGenerator out = FlatJson.JSON_FACTORY.createGenerator(text)) {
             out.writeStartObject();
             body.write(out);
             out.writeEndObject();
@@ -33,7 +33,7 @@
         return text.toString();
     }
 
-    private static String event(String name, Body body) throws IOException {
+    private static String event(String name, JsonObjectBody body) throws IOException {
         return "event: " + name + "\ndata: "
                 + json(out -> {
                     out.writeStringField("type", name);
@@ -42,42 +42,42 @@
                 + "\n\n";
     }
 
-    String write(Piece piece) throws IOException {
-        return dialect == Dialect.CHAT ? chat(piece) : messages(piece);
+    String encodeEvent(ResponseDelta delta) throws IOException {
+        return dialect == Dialect.CHAT ? encodeChatEvent(delta) : encodeMessagesEvent(delta);
     }
 
-    private void start(Piece.Start start) {
+    private void recordStart(ResponseDelta.Start start) {
         id = start.id();
         model = start.model();
     }
 
-    private String chat(Piece piece) throws IOException {
-        if (piece instanceof Piece.Start p) {
-            start(p);
-            return chunk("role", "assistant", null);
-        } else if (piece instanceof Piece.Text p) {
-            return chunk("content", p.text(), null);
-        } else if (piece instanceof Piece.Stop p) {
-            return chunk(null, null, finishReason(p.reason())) + "data: "
+    private String encodeChatEvent(ResponseDelta delta) throws IOException {
+        if (delta instanceof ResponseDelta.Start p) {
+            recordStart(p);
+            return chatChunk("role", "assistant", null);
+        } else if (delta instanceof ResponseDelta.Text p) {
+            return chatChunk("content", p.text(), null);
+        } else if (delta instanceof ResponseDelta.Finish p) {
+            return chatChunk(null, null, finishReason(p.reason())) + "data: "
                     + json(out -> {
-                        chatHead(out, "chat.completion.chunk");
+                        writeChatHead(out, "chat.completion.chunk");
                         out.writeArrayFieldStart("choices");
                         out.writeEndArray();
-                        chatUsage(out, p);
+                        writeChatUsage(out, p);
                     })
                     + "\n\n";
-        } else if (piece instanceof Piece.Done) {
+        } else if (delta instanceof ResponseDelta.End) {
             return "data: [DONE]\n\n";
-        } else if (piece instanceof Piece.Failure p) {
-            return "data: " + json(out -> error(out, p)) + "\n\n";
+        } else if (delta instanceof ResponseDelta.Failure p) {
+            return "data: " + json(out -> writeError(out, p)) + "\n\n";
         }
         return "";
     }
 
-    private String chunk(String field, String value, String finish) throws IOException {
+    private String chatChunk(String field, String value, String finish) throws IOException {
         return "data: "
                 + json(out -> {
-                    chatHead(out, "chat.completion.chunk");
+                    writeChatHead(out, "chat.completion.chunk");
                     out.writeArrayFieldStart("choices");
                     out.writeStartObject();
                     out.writeNumberField("index", 0);
@@ -93,19 +93,19 @@
                 + "\n\n";
     }
 
-    private void chatHead(JsonGenerator out, String object) throws IOException {
+    private void writeChatHead(JsonGenerator out, String object) throws IOException {
         out.writeStringField("id", id);
         out.writeStringField("object", object);
         out.writeStringField("model", model);
     }
 
-    private static void chatUsage(JsonGenerator out, Piece.Stop stop) throws IOException {
+    private static void writeChatUsage(JsonGenerator out, ResponseDelta.Finish stop) throws IOException {
         out.writeObjectFieldStart("usage");
         out.writeNumberField("prompt_tokens", stop.inputTokens());
         out.writeNumberField("completion_tokens", stop.outputTokens());
         out.writeNumberField("total_tokens", stop.inputTokens() + stop.outputTokens());
         out.writeObjectFieldStart("prompt_tokens_details");
-        out.writeNumberField("cached_tokens", stop.keptTokens());
+        out.writeNumberField("cached_tokens", stop.cachedTokens());
         out.writeEndObject();
         out.writeEndObject();
     }
@@ -119,28 +119,28 @@
         };
     }
 
-    private static void error(JsonGenerator out, Piece.Failure failure) throws IOException {
+    private static void writeError(JsonGenerator out, ResponseDelta.Failure failure) throws IOException {
         out.writeObjectFieldStart("error");
         out.writeStringField("type", failure.type());
         out.writeStringField("message", failure.message());
         out.writeEndObject();
     }
 
-    private String messages(Piece piece) throws IOException {
-        if (piece instanceof Piece.Start p) {
-            start(p);
+    private String encodeMessagesEvent(ResponseDelta delta) throws IOException {
+        if (delta instanceof ResponseDelta.Start p) {
+            recordStart(p);
             return event("message_start", out -> {
                 out.writeObjectFieldStart("message");
-                messageHead(out);
+                writeMessageHead(out);
                 out.writeArrayFieldStart("content");
                 out.writeEndArray();
                 out.writeNullField("stop_reason");
                 out.writeNullField("stop_sequence");
-                messageUsage(out, p.inputTokens(), 0, 0);
+                writeMessagesUsage(out, p.inputTokens(), 0, 0);
                 out.writeEndObject();
             });
-        } else if (piece instanceof Piece.Text p) {
-            String open = openBlock();
+        } else if (delta instanceof ResponseDelta.Text p) {
+            String open = openContentBlock();
             return open
                     + event("content_block_delta", out -> {
                         out.writeNumberField("index", 0);
@@ -149,8 +149,8 @@
                         out.writeStringField("text", p.text());
                         out.writeEndObject();
                     });
-        } else if (piece instanceof Piece.Stop p) {
-            String block = blockEver ? "" : openBlock();
+        } else if (delta instanceof ResponseDelta.Finish p) {
+            String block = blockWritten ? "" : openContentBlock();
             String close = blockOpen ? event("content_block_stop", out -> out.writeNumberField("index", 0)) : "";
             blockOpen = false;
             return block
@@ -160,22 +160,22 @@
                         out.writeStringField("stop_reason", p.reason());
                         out.writeNullField("stop_sequence");
                         out.writeEndObject();
-                        messageUsage(out, p.inputTokens(), p.outputTokens(), p.keptTokens());
+                        writeMessagesUsage(out, p.inputTokens(), p.outputTokens(), p.cachedTokens());
                     });
-        } else if (piece instanceof Piece.Done) {
+        } else if (delta instanceof ResponseDelta.End) {
             return event("message_stop", out -> {});
-        } else if (piece instanceof Piece.Failure p) {
-            return event("error", out -> error(out, p));
+        } else if (delta instanceof ResponseDelta.Failure p) {
+            return event("error", out -> writeError(out, p));
         }
         return "";
     }
 
-    private String openBlock() throws IOException {
+    private String openContentBlock() throws IOException {
         if (blockOpen) {
             return "";
         }
         blockOpen = true;
-        blockEver = true;
+        blockWritten = true;
         return event("content_block_start", out -> {
             out.writeNumberField("index", 0);
             out.writeObjectFieldStart("content_block");
@@ -185,37 +185,38 @@
         });
     }
 
-    private void messageHead(JsonGenerator out) throws IOException {
+    private void writeMessageHead(JsonGenerator out) throws IOException {
         out.writeStringField("id", id);
         out.writeStringField("type", "message");
         out.writeStringField("role", "assistant");
         out.writeStringField("model", model);
     }
 
-    private static void messageUsage(JsonGenerator out, long input, long output, long kept) throws IOException {
+    private static void writeMessagesUsage(JsonGenerator out, long inputTokens, long outputTokens, long cachedTokens)
+            throws IOException {
         out.writeObjectFieldStart("usage");
-        out.writeNumberField("input_tokens", input);
-        out.writeNumberField("output_tokens", output);
-        out.writeNumberField("cache_read_input_tokens", kept);
+        out.writeNumberField("input_tokens", inputTokens);
+        out.writeNumberField("output_tokens", outputTokens);
+        out.writeNumberField("cache_read_input_tokens", cachedTokens);
         out.writeEndObject();
     }
 
     /** A whole answer. */
-    String whole(List<Piece> pieces) throws IOException {
+    String encodeBody(List<ResponseDelta> deltas) throws IOException {
         StringBuilder text = new StringBuilder();
-        Piece.Stop[] stop = {new Piece.Stop("end_turn", 0, 0, 0)};
-        for (Piece piece : pieces) {
-            if (piece instanceof Piece.Start p) {
-                start(p);
-            } else if (piece instanceof Piece.Text p) {
+        ResponseDelta.Finish[] stop = {new ResponseDelta.Finish("end_turn", 0, 0, 0)};
+        for (ResponseDelta delta : deltas) {
+            if (delta instanceof ResponseDelta.Start p) {
+                recordStart(p);
+            } else if (delta instanceof ResponseDelta.Text p) {
                 text.append(p.text());
-            } else if (piece instanceof Piece.Stop p) {
+            } else if (delta instanceof ResponseDelta.Finish p) {
                 stop[0] = p;
             }
         }
         return json(out -> {
             if (dialect == Dialect.CHAT) {
-                chatHead(out, "chat.completion");
+                writeChatHead(out, "chat.completion");
                 out.writeArrayFieldStart("choices");
                 out.writeStartObject();
                 out.writeNumberField("index", 0);
@@ -226,9 +227,9 @@
                 out.writeStringField("finish_reason", finishReason(stop[0].reason()));
                 out.writeEndObject();
                 out.writeEndArray();
-                chatUsage(out, stop[0]);
+                writeChatUsage(out, stop[0]);
             } else {
-                messageHead(out);
+                writeMessageHead(out);
                 out.writeArrayFieldStart("content");
                 out.writeStartObject();
                 out.writeStringField("type", "text");
@@ -237,7 +238,7 @@
                 out.writeEndArray();
                 out.writeStringField("stop_reason", stop[0].reason());
                 out.writeNullField("stop_sequence");
-                messageUsage(out, stop[0].inputTokens(), stop[0].outputTokens(), stop[0].keptTokens());
+                writeMessagesUsage(out, stop[0].inputTokens(), stop[0].outputTokens(), stop[0].cachedTokens());
             }
         });
     }
--- a/node/src/main/java/fawnlb/dialect/SseParser.java
+++ b/node/src/main/java/fawnlb/translation/SseParser.java
@@ -1,4 +1,4 @@
-package fawnlb.dialect;
+package fawnlb.translation;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -14,27 +14,27 @@
     /** An event: its name, empty if it has none, and its data lines joined with line feeds. */
     record Event(String name, String data) {}
 
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-    private boolean afterCr;
-    private String name = "";
-    private StringBuilder data;
-    private int size;
+    private final ByteArrayOutputStream currentLine = new ByteArrayOutputStream();
+    private boolean skipLineFeed;
+    private String eventName = "";
+    private StringBuilder eventData;
+    private int eventBytes;
 
     List<Event> feed(ByteBuffer bytes) throws IOException {
         List<Event> events = new ArrayList<>();
         while (bytes.hasRemaining()) {
             byte b = bytes.get();
-            if (b == '\n' && afterCr) {
-                afterCr = false;
+            if (b == '\n' && skipLineFeed) {
+                skipLineFeed = false;
                 continue;
             }
-            afterCr = b == '\r';
+            skipLineFeed = b == '\r';
             if (b == '\n' || b == '\r') {
-                line(line.toString(StandardCharsets.UTF_8), events);
-                line.reset();
+                processLine(currentLine.toString(StandardCharsets.UTF_8), events);
+                currentLine.reset();
             } else {
-                line.write(b);
-                if (++size > MAX_EVENT_BYTES) {
+                currentLine.write(b);
+                if (++eventBytes > MAX_EVENT_BYTES) {
                     throw new IOException("event longer than " + MAX_EVENT_BYTES + " bytes");
                 }
             }
@@ -43,27 +43,29 @@
     }
 
     /** Bytes of the event that has begun. */
-    int buffered() {
-        return size;
+    int bufferedBytes() {
+        return eventBytes;
     }
 
-    private void line(String text, List<Event> events) {
+    private void processLine(String text, List<Event> events) {
         if (text.isEmpty()) {
-            if (data != null) {
-                events.add(new Event(name, data.toString()));
+            if (eventData != null) {
+                events.add(new Event(eventName, eventData.toString()));
             }
-            name = "";
-            data = null;
-            size = 0;
+            eventName = "";
+            eventData = null;
+            eventBytes = 0;
             return;
         }
         int colon = text.indexOf(':');
         String field = colon < 0 ? text : text.substring(0, colon);
         String value = colon < 0 ? "" : text.substring(colon + (text.startsWith(": ", colon) ? 2 : 1));
         if (field.equals("event")) {
-            name = value;
+            eventName = value;
         } else if (field.equals("data")) {
-            data = data == null ? new StringBuilder(value) : data.append('\n').append(value);
+            eventData = eventData == null
+                    ? new StringBuilder(value)
+                    : eventData.append('\n').append(value);
         }
     }
 }
--- a/node/src/main/java/org/xnio/nio/ListeningSocket.java
+++ b/node/src/main/java/org/xnio/nio/ListeningSocket.java
@@ -18,24 +18,24 @@
  */
 public final class ListeningSocket extends NioHandle {
     private final ServerSocketChannel channel;
-    private final Runnable acceptable;
+    private final Runnable onAcceptable;
 
-    private ListeningSocket(WorkerThread thread, SelectionKey key, ServerSocketChannel channel, Runnable acceptable) {
+    private ListeningSocket(WorkerThread thread, SelectionKey key, ServerSocketChannel channel, Runnable onAcceptable) {
         super(thread, key);
         this.channel = channel;
-        this.acceptable = acceptable;
+        this.onAcceptable = onAcceptable;
     }
 
     /**
      * Hands a bound, non-blocking channel to an I/O thread; it is not listened to before {@link #resumeAccepts}.
      *
-     * @param acceptable runs on the I/O thread whenever somebody waits to be accepted and accepts are resumed
+     * @param onAcceptable runs on the I/O thread whenever somebody waits to be accepted and accepts are resumed
      */
-    public static ListeningSocket register(XnioIoThread thread, ServerSocketChannel channel, Runnable acceptable)
+    public static ListeningSocket register(XnioIoThread thread, ServerSocketChannel channel, Runnable onAcceptable)
             throws IOException {
         WorkerThread worker = (WorkerThread) thread;
         SelectionKey key = worker.registerChannel(channel);
-        ListeningSocket socket = new ListeningSocket(worker, key, channel, acceptable);
+        ListeningSocket socket = new ListeningSocket(worker, key, channel, onAcceptable);
         key.attach(socket);
         return socket;
     }
@@ -58,18 +58,18 @@
     /**
      * Makes a connection of the I/O thread's of an accepted, non-blocking socket.
      *
-     * @param closed runs once when the connection has closed
+     * @param onClosed runs once when the connection has closed
      */
-    public StreamConnection connection(SocketChannel accepted, Runnable closed) throws IOException {
+    public StreamConnection openConnection(SocketChannel accepted, Runnable onClosed) throws IOException {
         SelectionKey key = getWorkerThread().registerChannel(accepted);
-        NioSocketStreamConnection connection = new NioSocketStreamConnection(getWorkerThread(), key, closed::run);
+        NioSocketStreamConnection connection = new NioSocketStreamConnection(getWorkerThread(), key, onClosed::run);
         key.attach(connection.getConduit());
         return connection;
     }
 
     @Override
     void handleReady(int operations) {
-        acceptable.run();
+        onAcceptable.run();
     }
 
     @Override
--- a/node/src/test/java/fawnlb/LogLines.java
+++ b/node/src/test/java/fawnlb/CapturedLog.java
@@ -7,11 +7,11 @@
 import java.util.logging.Logger;
 
 /** What is logged under a name, from its making to its end. */
-public final class LogLines extends Handler implements AutoCloseable {
+public final class CapturedLog extends Handler implements AutoCloseable {
     private final Logger logger;
     private final List<String> lines = new CopyOnWriteArrayList<>();
 
-    public LogLines(String name) {
+    public CapturedLog(String name) {
         logger = Logger.getLogger(name);
         logger.addHandler(this);
     }
--- a/node/src/test/java/fawnlb/DocumentationTest.java
+++ b/node/src/test/java/fawnlb/DocumentationTest.java
@@ -19,18 +19,18 @@
     private static final Pattern CLASS = Pattern.compile("`([a-z]+)\\.([A-Z][A-Za-z]+)`");
     private static final Pattern PAGE = Pattern.compile("`(docs/[A-Za-z0-9/_-]+\\.md)`");
 
-    private static List<String> found(Pattern pattern, String text) {
-        List<String> all = new ArrayList<>();
+    private static List<String> findAll(Pattern pattern, String text) {
+        List<String> matches = new ArrayList<>();
         for (Matcher matcher = pattern.matcher(text); matcher.find(); ) {
-            all.add(matcher.group().replace("`", ""));
+            matches.add(matcher.group().replace("`", ""));
         }
-        return all;
+        return matches;
     }
 
     @Test
-    public void classesOnThePathOfARequestExist() throws IOException {
+    public void classesNamedOnRequestPathPageExist() throws IOException {
         String page = Files.readString(ROOT.resolve("docs/request-path.md"));
-        List<String> names = found(CLASS, page);
+        List<String> names = findAll(CLASS, page);
         assertTrue(names.toString(), names.size() > 20);
         assertEquals(
                 List.of(),
@@ -40,14 +40,14 @@
     }
 
     @Test
-    public void pagesThatPagesNameExist() throws IOException {
+    public void pagesNamedOnOtherPagesExist() throws IOException {
         List<Path> pages = new ArrayList<>(List.of(ROOT.resolve("README.md"), ROOT.resolve("CONTRIBUTING.md")));
         try (Stream<Path> files = Files.walk(ROOT.resolve("docs"))) {
             files.filter(file -> file.toString().endsWith(".md")).forEach(pages::add);
         }
         List<String> missing = new ArrayList<>();
         for (Path page : pages) {
-            found(PAGE, Files.readString(page)).stream()
+            findAll(PAGE, Files.readString(page)).stream()
                     .filter(name -> !Files.exists(ROOT.resolve(name)))
                     .forEach(name -> missing.add(page + " names " + name));
         }
--- a/node/src/test/java/fawnlb/PackagesTest.java
+++ b/node/src/test/java/fawnlb/PackagesTest.java
@@ -22,7 +22,7 @@
     private static final Path ROOT = Path.of("src/main/java");
     private static final Pattern IMPORT = Pattern.compile("(?m)^import (?:static )?([a-z0-9.]+)\\.[A-Z]");
 
-    private static Map<String, Set<String>> imports() throws IOException {
+    private static Map<String, Set<String>> importsByPackage() throws IOException {
         Map<String, Set<String>> found = new TreeMap<>();
         try (Stream<Path> files = Files.walk(ROOT)) {
             for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
@@ -38,34 +38,37 @@
         return found;
     }
 
-    private static void walk(Map<String, Set<String>> graph, String at, List<String> path, List<String> circles) {
-        if (path.contains(at)) {
-            circles.add(path.subList(path.indexOf(at), path.size()) + " -> " + at);
+    private static void collectCycles(
+            Map<String, Set<String>> graph, String current, List<String> path, List<String> cycles) {
+        if (path.contains(current)) {
+            cycles.add(path.subList(path.indexOf(current), path.size()) + " -> " + current);
             return;
         }
-        path.add(at);
-        graph.getOrDefault(at, Set.of()).forEach(next -> walk(graph, next, path, circles));
+        path.add(current);
+        graph.getOrDefault(current, Set.of()).forEach(next -> collectCycles(graph, next, path, cycles));
         path.remove(path.size() - 1);
     }
 
     @Test
-    public void noPackageImportsInACircle() throws IOException {
-        Map<String, Set<String>> graph = imports();
-        List<String> circles = new ArrayList<>();
-        graph.keySet().forEach(name -> walk(graph, name, new ArrayList<>(), circles));
-        assertEquals(List.of(), circles);
-        assertTrue(graph.containsKey("fawnlb.flow") && graph.get("fawnlb.cli").contains("fawnlb.flow"));
+    public void packagesHaveNoImportCycles() throws IOException {
+        Map<String, Set<String>> graph = importsByPackage();
+        List<String> cycles = new ArrayList<>();
+        graph.keySet().forEach(name -> collectCycles(graph, name, new ArrayList<>(), cycles));
+        assertEquals(List.of(), cycles);
+        assertTrue(graph.containsKey("fawnlb.proxy") && graph.get("fawnlb.cli").contains("fawnlb.proxy"));
     }
 
     @Test
-    public void theCoreKnowsNoWire() throws IOException {
-        for (String name : imports().get("fawnlb.flow")) {
+    public void proxyAndMetricsImportNoIoPackages() throws IOException {
+        for (String name : importsByPackage().get("fawnlb.proxy")) {
             assertTrue(
                     name,
                     name.startsWith("java.")
-                            || Set.of("fawnlb.decision", "fawnlb.actor", "fawnlb.stream", "fawnlb.metrics")
+                            || Set.of("fawnlb.decision", "fawnlb.eventloop", "fawnlb.stream", "fawnlb.metrics")
                                     .contains(name));
         }
-        assertTrue("counts alone", imports().get("fawnlb.metrics").stream().allMatch(name -> name.startsWith("java.")));
+        assertTrue(
+                "counts alone",
+                importsByPackage().get("fawnlb.metrics").stream().allMatch(name -> name.startsWith("java.")));
     }
 }
--- a/node/src/test/java/fawnlb/backend/BackendPoolTest.java
+++ b/node/src/test/java/fawnlb/backend/BackendPoolTest.java
@@ -3,15 +3,15 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.actor.IoTimers;
-import fawnlb.decision.Balancer.Phase;
-import fawnlb.dialect.Dialect;
-import fawnlb.flow.Ask;
-import fawnlb.flow.Backends;
-import fawnlb.flow.Source;
-import fawnlb.stream.Ending;
-import fawnlb.stream.Rules;
-import fawnlb.stream.Streams;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.eventloop.EventLoopTimers;
+import fawnlb.proxy.Backends;
+import fawnlb.proxy.IncomingRequest;
+import fawnlb.proxy.ResponseSource;
+import fawnlb.stream.AttemptEnd;
+import fawnlb.stream.StreamRegistry;
+import fawnlb.stream.StreamTimeouts;
+import fawnlb.translation.Dialect;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -34,96 +34,107 @@
 import org.xnio.XnioWorker;
 
 public class BackendPoolTest {
-    private static final int LIVES = 50;
-    private static final long SECOND = 1_000_000_000;
+    private static final int BACKEND_COUNT = 50;
+    private static final long SECOND_NANOS = 1_000_000_000;
 
     private final XnioWorker worker;
     private final XnioIoThread thread;
-    private final IoTimers timers;
-    private final Streams streams = new Streams(Rules.standard());
+    private final EventLoopTimers timers;
+    private final StreamRegistry streams = new StreamRegistry(StreamTimeouts.defaults());
     private BackendPool pool;
-    private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> attemptEnds = new LinkedBlockingQueue<>();
     /** Whether the client is still there; asked and set on the I/O thread. */
-    private boolean wanted = true;
+    private boolean clientConnected = true;
 
-    private final Backends.Report report = new Backends.Report() {
+    private final Backends.AttemptListener report = new Backends.AttemptListener() {
         @Override
-        public boolean wanted() {
-            return wanted;
+        public boolean isStillWanted() {
+            return clientConnected;
         }
 
         @Override
-        public void started(Source source) {}
+        public void onResponseStarted(ResponseSource source) {}
 
         @Override
-        public void rejected(Source source) {}
+        public void onClientErrorResponse(ResponseSource source) {}
 
         @Override
-        public void parked() {}
+        public void onClientStalled() {}
 
         @Override
-        public void ended(Ending ending, long kept, List<Double> load) {
-            ends.add(ending.word());
+        public void onAttemptEnded(AttemptEnd ending, long kept, List<Double> load) {
+            attemptEnds.add(ending.label());
         }
     };
 
     public BackendPoolTest() throws IOException {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         thread = worker.getIoThread();
-        timers = new IoTimers(thread);
-        pool = pool(0);
+        timers = new EventLoopTimers(thread);
+        pool = createPool(0);
     }
 
-    private BackendPool pool(long rest) {
+    private BackendPool createPool(long minRestNanos) {
         return new BackendPool(
-                thread, timers, new BackendPool.Limits(SECOND / 4, SECOND, rest, 1, 50, List.of()), streams);
+                thread,
+                timers,
+                new BackendPool.Limits(SECOND_NANOS / 4, SECOND_NANOS, minRestNanos, 1, 50, List.of()),
+                streams);
     }
 
     @After
-    public void end() {
+    public void stopWorker() {
         worker.shutdownNow();
     }
 
-    private void attempt(int id, long sendBy, String named) {
-        attempt(id, timers.now() + SECOND, sendBy, named);
+    private void startAttempt(int id, long sendDeadlineNanos, String requestId) {
+        startAttempt(id, timers.now() + SECOND_NANOS, sendDeadlineNanos, requestId);
     }
 
-    private void attempt(int id, long until, long sendBy, String named) {
-        pool.attempt(
+    private void startAttempt(int id, long responseDeadlineNanos, long sendDeadlineNanos, String requestId) {
+        pool.startAttempt(
                 id,
-                new Ask(
+                new IncomingRequest(
                         0,
                         0,
                         1,
                         0,
-                        SECOND,
+                        SECOND_NANOS,
                         1,
                         0,
                         1,
                         false,
-                        new Parcel(Dialect.CHAT, "/", named, null, true, new byte[2], null, new Parcel.Tally(false))),
-                until,
-                sendBy,
+                        new OutboundRequest(
+                                Dialect.CHAT,
+                                "/",
+                                requestId,
+                                null,
+                                true,
+                                new byte[2],
+                                null,
+                                new OutboundRequest.ResponseSummary(false))),
+                responseDeadlineNanos,
+                sendDeadlineNanos,
                 true,
                 report);
     }
 
     /** Long days replace backends all the time: one that left with an attempt on its way was kept for good. */
     @Test
-    public void aBackendThatLeavesWithAForwardOnItsWayIsForgotten() throws Exception {
+    public void removedBackendIsForgottenWhenItsLastAttemptEnds() throws Exception {
         thread.execute(() -> {
-            for (int id = 1; id <= LIVES; id++) {
+            for (int id = 1; id <= BACKEND_COUNT; id++) {
                 InetSocketAddress address = new InetSocketAddress("127.0.0.1", 1);
-                pool.place(id, address, 0, Phase.READY, Dialect.CHAT);
-                attempt(id, Long.MAX_VALUE, "i" + id);
-                pool.place(id, address, 0, Phase.GONE, Dialect.CHAT);
+                pool.updateBackend(id, address, 0, EndpointPhase.READY, Dialect.CHAT);
+                startAttempt(id, Long.MAX_VALUE, "i" + id);
+                pool.updateBackend(id, address, 0, EndpointPhase.GONE, Dialect.CHAT);
             }
         });
-        for (int i = 0; i < LIVES; i++) {
-            assertTrue(ends.poll(10, TimeUnit.SECONDS) != null);
+        for (int i = 0; i < BACKEND_COUNT; i++) {
+            assertTrue(attemptEnds.poll(10, TimeUnit.SECONDS) != null);
         }
         CompletableFuture<Integer> kept = new CompletableFuture<>();
-        thread.execute(() -> kept.complete(streams.figures().size()));
+        thread.execute(() -> kept.complete(streams.statistics().size()));
         assertEquals(0, (int) kept.get(10, TimeUnit.SECONDS));
     }
 
@@ -131,26 +142,27 @@
      * What becomes of an attempt whose connection comes up when this has happened; the next one is what the backend
      * reads.
      */
-    private void notSentAfter(long sendBy, boolean stays, Phase... phases) throws Exception {
+    private void assertNotSentAfter(long sendDeadlineNanos, boolean clientStays, EndpointPhase... phases)
+            throws Exception {
         try (ServerSocket server = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
             InetSocketAddress address = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
             // All in one turn of the thread: the connect is on its way, and can't come up before its end.
             thread.execute(() -> {
-                pool.place(1, address, 0, Phase.READY, Dialect.CHAT);
-                attempt(1, sendBy, "early");
-                wanted = stays;
-                for (Phase phase : phases) {
-                    pool.place(1, address, 0, phase, Dialect.CHAT);
+                pool.updateBackend(1, address, 0, EndpointPhase.READY, Dialect.CHAT);
+                startAttempt(1, sendDeadlineNanos, "early");
+                clientConnected = clientStays;
+                for (EndpointPhase phase : phases) {
+                    pool.updateBackend(1, address, 0, phase, Dialect.CHAT);
                 }
             });
-            assertEquals("not-sent", ends.poll(10, TimeUnit.SECONDS));
+            assertEquals("not-sent", attemptEnds.poll(10, TimeUnit.SECONDS));
             thread.execute(() -> {
-                wanted = true;
-                pool.place(1, address, 0, Phase.READY, Dialect.CHAT);
-                attempt(1, Long.MAX_VALUE, "next");
+                clientConnected = true;
+                pool.updateBackend(1, address, 0, EndpointPhase.READY, Dialect.CHAT);
+                startAttempt(1, Long.MAX_VALUE, "next");
             });
             try (Socket first = server.accept()) {
-                Socket socket = phases.length > 0 && phases[0] == Phase.GONE ? server.accept() : first;
+                Socket socket = phases.length > 0 && phases[0] == EndpointPhase.GONE ? server.accept() : first;
                 readRequest(socket, "next");
                 assertEquals(
                         "nothing came before",
@@ -162,62 +174,62 @@
 
     /** It was decided before the list came, and its connect takes its time: it is not sent behind the grace. */
     @Test
-    public void anAttemptThatWaitsForItsConnectionIsNotSentToATargetThatDrains() throws Exception {
-        notSentAfter(Long.MAX_VALUE, true, Phase.DRAINING);
+    public void attemptIsNotSentWhenBackendStartsDrainingDuringConnect() throws Exception {
+        assertNotSentAfter(Long.MAX_VALUE, true, EndpointPhase.DRAINING);
     }
 
     @Test
-    public void anAttemptThatWaitsForItsConnectionIsNotSentToATargetThatIsGone() throws Exception {
-        notSentAfter(Long.MAX_VALUE, true, Phase.GONE);
+    public void attemptIsNotSentWhenBackendIsRemovedDuringConnect() throws Exception {
+        assertNotSentAfter(Long.MAX_VALUE, true, EndpointPhase.GONE);
     }
 
     @Test
-    public void anAttemptIsNotSentWhenItsTimeToBeSentIsOver() throws Exception {
-        notSentAfter(timers.now(), true);
+    public void attemptIsNotSentAfterItsSendDeadline() throws Exception {
+        assertNotSentAfter(timers.now(), true);
     }
 
     @Test
-    public void anAttemptThatWaitsForItsConnectionIsNotSentForAClientThatHasGone() throws Exception {
-        notSentAfter(Long.MAX_VALUE, false);
+    public void attemptIsNotSentWhenClientDisconnectsDuringConnect() throws Exception {
+        assertNotSentAfter(Long.MAX_VALUE, false);
     }
 
     /**
      * An attempt that has this long; the I/O thread is kept busy for 0.2 s between the decision and the moment at which
      * the connection can be written to.
      */
-    private void attemptWhileBusy(ServerSocket server, long patience) {
+    private void startAttemptWhileThreadIsBusy(ServerSocket server, long remainingNanos) {
         InetSocketAddress address = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
         thread.execute(() -> {
-            pool.place(1, address, 0, Phase.READY, Dialect.CHAT);
-            attempt(1, timers.now() + patience, Long.MAX_VALUE, "late");
-            long until = timers.now() + SECOND / 5;
-            while (timers.now() < until) {
+            pool.updateBackend(1, address, 0, EndpointPhase.READY, Dialect.CHAT);
+            startAttempt(1, timers.now() + remainingNanos, Long.MAX_VALUE, "late");
+            long busyUntilNanos = timers.now() + SECOND_NANOS / 5;
+            while (timers.now() < busyUntilNanos) {
                 Thread.onSpinWait();
             }
         });
     }
 
     @Test
-    public void deadlineToldToServerIsWhatIsLeftWhenRequestIsWritten() throws Exception {
+    public void deadlineHeaderIsTimeRemainingWhenRequestIsWritten() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
-            attemptWhileBusy(server, SECOND);
+            startAttemptWhileThreadIsBusy(server, SECOND_NANOS);
             try (Socket socket = server.accept()) {
                 BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
                 String line = in.readLine();
                 while (!line.startsWith("X-Deadline-Ms: ")) {
                     line = in.readLine();
                 }
-                long told = Long.parseLong(line.substring("X-Deadline-Ms: ".length()));
-                assertTrue("told " + told + " ms", told <= 800);
+                long deadlineMillis = Long.parseLong(line.substring("X-Deadline-Ms: ".length()));
+                assertTrue("told " + deadlineMillis + " ms", deadlineMillis <= 800);
             }
         }
     }
 
     @Test
-    public void requestWhoseDeadlineHasPassedWhenItsConnectionIsUpIsNotSent() throws Exception {
+    public void attemptIsNotSentWhenDeadlinePassesDuringConnect() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
-            attemptWhileBusy(server, SECOND / 10);
-            assertEquals("not-sent", ends.poll(10, TimeUnit.SECONDS));
+            startAttemptWhileThreadIsBusy(server, SECOND_NANOS / 10);
+            assertEquals("not-sent", attemptEnds.poll(10, TimeUnit.SECONDS));
         }
     }
 
@@ -232,32 +244,32 @@
      * The second answer comes after the next request was sent: on one connection it would pass for that one's answer.
      */
     @Test
-    public void lateSecondAnswerIsNotTakenForTheNextRequestsAnswer() throws Exception {
-        pool = pool(SECOND);
+    public void unsolicitedSecondResponseIsNotMatchedToNextRequest() throws Exception {
+        pool = createPool(SECOND_NANOS);
         String answer = "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
         try (ServerSocket server = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(10_000);
             InetSocketAddress address = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
             thread.execute(() -> {
-                pool.place(1, address, 0, Phase.READY, Dialect.CHAT);
-                attempt(1, Long.MAX_VALUE, "first");
+                pool.updateBackend(1, address, 0, EndpointPhase.READY, Dialect.CHAT);
+                startAttempt(1, Long.MAX_VALUE, "first");
             });
             try (Socket first = server.accept()) {
                 readRequest(first, "first");
                 first.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
-                assertEquals("turned-away", ends.poll(10, TimeUnit.SECONDS));
-                thread.execute(() -> attempt(1, Long.MAX_VALUE, "next"));
+                assertEquals("turned-away", attemptEnds.poll(10, TimeUnit.SECONDS));
+                thread.execute(() -> startAttempt(1, Long.MAX_VALUE, "next"));
                 try (Socket second = server.accept()) {
                     readRequest(second, "next");
                     first.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
-                    assertEquals("closed by what nobody asked for", -1, drained(first));
-                    assertTrue(ends.isEmpty());
+                    assertEquals("closed by what nobody asked for", -1, readToEnd(first));
+                    assertTrue(attemptEnds.isEmpty());
                 }
             }
         }
     }
 
-    private static int drained(Socket socket) throws IOException {
+    private static int readToEnd(Socket socket) throws IOException {
         socket.setSoTimeout(10_000);
         int last = 0;
         while (last >= 0) {
--- a/node/src/test/java/fawnlb/backend/LoadReportTest.java
+++ b/node/src/test/java/fawnlb/backend/LoadReportTest.java
@@ -7,7 +7,7 @@
 
 public class LoadReportTest {
     @Test
-    public void reportsAreReadInTheOrderOfTheSettings() {
+    public void valuesFollowOrderOfConfiguredFields() {
         Object[][] cases = {
             {"TEXT inflight=7, queue=2, util=0.61", List.of("waiting", "active"), List.of(2.0, 7.0)},
             {"TEXT queue=2", List.of("waiting", "cpu"), List.of(2.0, 0.0)},
--- a/node/src/test/java/fawnlb/backend/TailTest.java
+++ b/node/src/test/java/fawnlb/backend/ResponseTailTest.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.Test;
 
-public class TailTest {
+public class ResponseTailTest {
     @Test
-    public void theEndTellsWhatWasKeptAndTheLoad() {
+    public void findsCachedTokensAndLoadReportAcrossChunkBoundaries() {
         String usage = "data: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n";
         Object[][] cases = {
             {usage + "data: [DONE]\n\n", 4096L, ""},
@@ -22,15 +22,15 @@
         };
         for (Object[] row : cases) {
             byte[] all = ((String) row[0]).getBytes(StandardCharsets.UTF_8);
-            for (int piece : new int[] {1, 13, 5000}) {
-                Tail tail = new Tail();
-                for (int at = 0; at < all.length; at += piece) {
-                    ByteBuffer part = ByteBuffer.wrap(all, at, Math.min(piece, all.length - at));
-                    tail.add(part);
-                    assertEquals("the piece is left unread", Math.min(piece, all.length - at), part.remaining());
+            for (int chunkSize : new int[] {1, 13, 5000}) {
+                ResponseTail tail = new ResponseTail();
+                for (int at = 0; at < all.length; at += chunkSize) {
+                    ByteBuffer chunk = ByteBuffer.wrap(all, at, Math.min(chunkSize, all.length - at));
+                    tail.add(chunk);
+                    assertEquals("the piece is left unread", Math.min(chunkSize, all.length - at), chunk.remaining());
                 }
-                assertEquals(row[0].toString(), row[1], tail.kept());
-                assertEquals(row[0].toString(), row[2], tail.load());
+                assertEquals(row[0].toString(), row[1], tail.cachedTokens());
+                assertEquals(row[0].toString(), row[2], tail.loadReport());
             }
         }
     }
--- a/node/src/test/java/fawnlb/cli/DescriptorPressureIT.java
+++ b/node/src/test/java/fawnlb/cli/DescriptorPressureIT.java
@@ -1,15 +1,15 @@
 package fawnlb.cli;
 
-import static fawnlb.cli.Launch.connect;
-import static fawnlb.cli.Launch.signal;
-import static fawnlb.cli.StandIn.CHUNKED;
-import static fawnlb.cli.StandIn.chunk;
-import static fawnlb.cli.StandIn.head;
-import static fawnlb.cli.StandIn.write;
+import static fawnlb.cli.FakeHttpServer.CHUNKED_ENCODING;
+import static fawnlb.cli.FakeHttpServer.chunk;
+import static fawnlb.cli.FakeHttpServer.responseHead;
+import static fawnlb.cli.FakeHttpServer.write;
+import static fawnlb.cli.ServerProcess.connect;
+import static fawnlb.cli.ServerProcess.sendSignal;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.cli.Launch.Running;
+import fawnlb.cli.ServerProcess.RunningServer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -26,8 +26,9 @@
 
 /** Idle clients take all descriptors that are theirs while discovery is down; all else still gets its own. */
 public class DescriptorPressureIT {
-    private static final int LIMIT = 200;
-    private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    private static final int DESCRIPTOR_LIMIT = 200;
+    private static final String READINESS_REQUEST =
+            "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
 
     private final List<SocketChannel> idle = new ArrayList<>();
 
@@ -47,7 +48,7 @@
         }
     }
 
-    private static String ask(int port, String request) {
+    private static String exchange(int port, String request) {
         try (Socket client = connect(port)) {
             write(client, request);
             return new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -57,43 +58,48 @@
     }
 
     @Test
-    public void reloadWatchAndServersGetDescriptorsWhileIdleClientsTakeAllOfTheirs() throws Exception {
-        String answer = head(200, CHUNKED) + chunk("data: {\"choices\":[]}\n\ndata: [DONE]\n\n") + "0\r\n\r\n";
-        try (StandIn server = new StandIn((request, socket) -> write(socket, answer));
-                StandIn discovery = new StandIn((request, socket) -> {
+    public void reloadWatchAndBackendsGetDescriptorsUnderIdleClientFlood() throws Exception {
+        String answer =
+                responseHead(200, CHUNKED_ENCODING) + chunk("data: {\"choices\":[]}\n\ndata: [DONE]\n\n") + "0\r\n\r\n";
+        try (FakeHttpServer backend = new FakeHttpServer((request, socket) -> write(socket, answer));
+                FakeHttpServer discovery = new FakeHttpServer((request, socket) -> {
                     write(
                             socket,
-                            head(200, CHUNKED)
+                            responseHead(200, CHUNKED_ENCODING)
                                     + chunk("{\"revision\":2,\"complete\":true,\"members\":["
-                                            + Rigged.member(1, server.address(), "c", "ready") + "]}\n"));
+                                            + ServerHarness.endpointJson(1, backend.address(), "c", "ready") + "]}\n"));
                     while (true) {
                         TimeUnit.SECONDS.sleep(1);
                         write(socket, chunk("\n"));
                     }
                 })) {
-            Path config = Rigged.file(Rigged.config("subscribe", "127.0.0.1:" + Rigged.closedPort(), ""));
-            try (Running node =
-                            new Running(Launch.after("ulimit -n " + LIMIT, "serve", "--config", config.toString()));
-                    Socket first = connect(node.log, "serves on")) {
+            Path config = ServerHarness.temporaryFile(
+                    ServerHarness.configJson("subscribe", "127.0.0.1:" + ServerHarness.unusedPort(), ""));
+            try (RunningServer server = new RunningServer(ServerProcess.startAfter(
+                            "ulimit -n " + DESCRIPTOR_LIMIT, "serve", "--config", config.toString()));
+                    Socket first = connect(server.log, "serves on")) {
                 int port = first.getPort();
-                connectIdle(port, 3 * LIMIT);
+                connectIdle(port, 3 * DESCRIPTOR_LIMIT);
                 assertTrue(
                         "no list yet: refused at once",
-                        ask(port, Rigged.chat("early", 3000)).startsWith("HTTP/1.1 503"));
-                Files.writeString(config, Rigged.config("subscribe", discovery.address(), ""));
-                signal(node.process, "HUP");
-                connectIdle(port, LIMIT);
-                Rigged.until("watched", () -> !discovery.requests.isEmpty());
-                Rigged.until("ready", () -> ask(port, READY).startsWith("HTTP/1.1 200"));
+                        exchange(port, ServerHarness.chatRequest("early", 3000)).startsWith("HTTP/1.1 503"));
+                Files.writeString(config, ServerHarness.configJson("subscribe", discovery.address(), ""));
+                sendSignal(server.process, "HUP");
+                connectIdle(port, DESCRIPTOR_LIMIT);
+                ServerHarness.waitUntil("watched", () -> !discovery.requests.isEmpty());
+                ServerHarness.waitUntil(
+                        "ready", () -> exchange(port, READINESS_REQUEST).startsWith("HTTP/1.1 200"));
                 for (int i = 0; i < 20; i++) {
                     connectIdle(port, 10);
-                    String served = ask(port, Rigged.chat("id" + i, 3000));
+                    String served = exchange(port, ServerHarness.chatRequest("id" + i, 3000));
                     assertTrue(served, served.startsWith("HTTP/1.1 200") && served.endsWith("0\r\n\r\n"));
                 }
                 closeIdle();
-                assertTrue("recovers", ask(port, Rigged.chat("after", 3000)).startsWith("HTTP/1.1 200"));
-                signal(node.process, "TERM");
-                String rest = node.log.lines().collect(Collectors.joining("\n"));
+                assertTrue(
+                        "recovers",
+                        exchange(port, ServerHarness.chatRequest("after", 3000)).startsWith("HTTP/1.1 200"));
+                sendSignal(server.process, "TERM");
+                String rest = server.log.lines().collect(Collectors.joining("\n"));
                 assertFalse(rest, rest.contains("Too many open files"));
             }
         }
--- a/node/src/test/java/fawnlb/cli/StandIn.java
+++ b/node/src/test/java/fawnlb/cli/FakeHttpServer.java
@@ -15,43 +15,43 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A stand-in for a backend or for discovery: each request it gets is answered by a script. */
-final class StandIn implements AutoCloseable {
+final class FakeHttpServer implements AutoCloseable {
     final List<Request> requests = new CopyOnWriteArrayList<>();
-    final AtomicInteger connections = new AtomicInteger();
-    final AtomicInteger closed = new AtomicInteger();
+    final AtomicInteger acceptedConnections = new AtomicInteger();
+    final AtomicInteger closedConnections = new AtomicInteger();
     private final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    private final Script script;
+    private final ResponseScript script;
 
     /** A request as it came. */
-    record Request(String line, Map<String, String> headers, String body) {
-        String id() {
+    record Request(String requestLine, Map<String, String> headers, String body) {
+        String requestId() {
             return headers.getOrDefault("x-request-id", "");
         }
     }
 
     /** Writes an answer. */
-    interface Script {
-        void answer(Request request, Socket socket) throws Exception;
+    interface ResponseScript {
+        void respond(Request request, Socket socket) throws Exception;
     }
 
-    StandIn(Script script) throws IOException {
+    FakeHttpServer(ResponseScript script) throws IOException {
         this.script = script;
-        start(() -> {
+        startThread(() -> {
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
-                connections.incrementAndGet();
-                start(() -> serve(socket));
+                acceptedConnections.incrementAndGet();
+                startThread(() -> serve(socket));
             }
         });
     }
 
-    private interface Work {
+    private interface SocketTask {
         void run() throws Exception;
     }
 
-    private static void start(Work work) {
+    private static void startThread(SocketTask work) {
         Thread thread = new Thread(() -> {
             try {
                 work.run();
@@ -67,9 +67,9 @@
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
             String line;
-            while (!(line = line(in)).isEmpty()) {
+            while (!(line = readLine(in)).isEmpty()) {
                 Map<String, String> headers = new TreeMap<>();
-                for (String header = line(in); !header.isEmpty(); header = line(in)) {
+                for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
                     headers.put(
                             header.substring(0, header.indexOf(':')).toLowerCase(Locale.ROOT),
                             header.substring(header.indexOf(':') + 1).trim());
@@ -77,13 +77,13 @@
                 byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
                 Request request = new Request(line, headers, new String(body, StandardCharsets.UTF_8));
                 requests.add(request);
-                script.answer(request, socket);
+                script.respond(request, socket);
             }
-            closed.incrementAndGet();
+            closedConnections.incrementAndGet();
         }
     }
 
-    static String line(InputStream in) throws IOException {
+    static String readLine(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         for (int c = in.read(); c >= 0 && c != '\n'; c = in.read()) {
             text.append((char) c);
@@ -104,12 +104,12 @@
         return Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + text + "\r\n";
     }
 
-    static String head(int status, String... headers) {
+    static String responseHead(int status, String... headers) {
         return "HTTP/1.1 " + status + " x\r\nContent-Type: text/event-stream\r\n" + String.join("", headers) + "\r\n";
     }
 
-    static final String CHUNKED = "Transfer-Encoding: chunked\r\n";
-    static final String EMPTY = "Content-Length: 0\r\n";
+    static final String CHUNKED_ENCODING = "Transfer-Encoding: chunked\r\n";
+    static final String NO_BODY = "Content-Length: 0\r\n";
 
     @Override
     public void close() throws IOException {
--- a/node/src/test/java/fawnlb/cli/FleetSizeIT.java
+++ b/node/src/test/java/fawnlb/cli/FleetSizeIT.java
@@ -1,14 +1,14 @@
 package fawnlb.cli;
 
-import static fawnlb.cli.Launch.connect;
-import static fawnlb.cli.StandIn.CHUNKED;
-import static fawnlb.cli.StandIn.chunk;
-import static fawnlb.cli.StandIn.head;
-import static fawnlb.cli.StandIn.write;
+import static fawnlb.cli.FakeHttpServer.CHUNKED_ENCODING;
+import static fawnlb.cli.FakeHttpServer.chunk;
+import static fawnlb.cli.FakeHttpServer.responseHead;
+import static fawnlb.cli.FakeHttpServer.write;
+import static fawnlb.cli.ServerProcess.connect;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.cli.Launch.Running;
+import fawnlb.cli.ServerProcess.RunningServer;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -27,35 +27,35 @@
 
 /** The largest fleet that is promised, on the program as the deploy file starts it. */
 public class FleetSizeIT {
-    private static final int SERVERS = 1024;
-    private static final int NODES = 1024;
-    private static final int RELEASES = 4;
+    private static final int BACKEND_COUNT = 1024;
+    private static final int INSTANCE_COUNT = 1024;
+    private static final int RELEASE_COUNT = 4;
     private static final int REQUESTS_PER_RELEASE = 200;
     /** Of the 48 MB of the heap, for what stays; bodies may take 12 MB beside it. */
     private static final int MAX_LIVE_MB = 32;
 
-    private static final String ANSWER =
-            head(200, CHUNKED) + chunk("data: {\"choices\":[]}\n\ndata: [DONE]\n\n") + "0\r\n\r\n";
+    private static final String RESPONSE =
+            responseHead(200, CHUNKED_ENCODING) + chunk("data: {\"choices\":[]}\n\ndata: [DONE]\n\n") + "0\r\n\r\n";
 
     /** The whole list of a release, each server under a name of its own. */
-    private static String release(int number, String address) {
+    private static String endpointListJson(int number, String address) {
         return "{\"revision\":" + number + ",\"complete\":true,\"members\":["
-                + IntStream.range(0, SERVERS)
-                        .mapToObj(i -> Rigged.member(1, address, "c", "ready")
-                                .replace("s-00000001", String.format("s-%08x", number * SERVERS + i)))
+                + IntStream.range(0, BACKEND_COUNT)
+                        .mapToObj(i -> ServerHarness.endpointJson(1, address, "c", "ready")
+                                .replace("s-00000001", String.format("s-%08x", number * BACKEND_COUNT + i)))
                         .collect(Collectors.joining(","))
                 + "]}\n";
     }
 
-    private static int liveMegabytes(Process node) throws Exception {
+    private static int liveMegabytes(Process server) throws Exception {
         String jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd").toString();
         assertEquals(
                 0,
-                new ProcessBuilder(jcmd, Long.toString(node.pid()), "GC.run")
+                new ProcessBuilder(jcmd, Long.toString(server.pid()), "GC.run")
                         .redirectErrorStream(true)
                         .start()
                         .waitFor());
-        Process info = new ProcessBuilder(jcmd, Long.toString(node.pid()), "GC.heap_info")
+        Process info = new ProcessBuilder(jcmd, Long.toString(server.pid()), "GC.heap_info")
                 .redirectErrorStream(true)
                 .start();
         String text = new String(info.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -79,49 +79,51 @@
         }
     }
 
-    private static void serve(int port, String id) throws IOException {
+    private static void assertServed(int port, String id) throws IOException {
         try (Socket client = connect(port)) {
-            write(client, Rigged.chat(id, 4000, "X-Key: " + id + "\r\n"));
+            write(client, ServerHarness.chatRequest(id, 4000, "X-Key: " + id + "\r\n"));
             String answer = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertTrue(id + ": " + answer, answer.startsWith("HTTP/1.1 200") && answer.endsWith("0\r\n\r\n"));
         }
     }
 
     @Test
-    public void listOfThousandServersIsTakenAndReplacedUnderLoadWithinTheHeap() throws Exception {
+    public void thousandEndpointListIsReplacedUnderLoadWithinHeap() throws Exception {
         BlockingQueue<String> releases = new LinkedBlockingQueue<>();
-        try (StandIn server = new StandIn((request, socket) -> write(socket, ANSWER));
-                StandIn discovery = new StandIn((request, socket) -> {
-                    write(socket, head(200, CHUNKED));
+        try (FakeHttpServer backend = new FakeHttpServer((request, socket) -> write(socket, RESPONSE));
+                FakeHttpServer discovery = new FakeHttpServer((request, socket) -> {
+                    write(socket, responseHead(200, CHUNKED_ENCODING));
                     while (true) {
                         write(socket, chunk(releases.take()));
                     }
                 })) {
-            Path config = Rigged.file(Rigged.config("subscribe", discovery.address(), "")
-                    .replace("\"registry-mode\"", "\"replicas-of-me\":" + NODES + ",\"registry-mode\""));
-            releases.add(release(1, server.address()));
-            List<Integer> live = new ArrayList<>();
+            Path config = ServerHarness.temporaryFile(ServerHarness.configJson("subscribe", discovery.address(), "")
+                    .replace("\"registry-mode\"", "\"replicas-of-me\":" + INSTANCE_COUNT + ",\"registry-mode\""));
+            releases.add(endpointListJson(1, backend.address()));
+            List<Integer> liveMegabytes = new ArrayList<>();
             Set<String> served = new HashSet<>();
-            try (Running node = new Running(Launch.start("serve", "--config", config.toString()));
-                    Socket first = connect(node.log, "serves on")) {
+            try (RunningServer server = new RunningServer(ServerProcess.start("serve", "--config", config.toString()));
+                    Socket first = connect(server.log, "serves on")) {
                 int port = first.getPort();
-                Rigged.until("the list was taken", () -> isReady(port));
-                for (int number = 1; number <= RELEASES; number++) {
+                ServerHarness.waitUntil("the list was taken", () -> isReady(port));
+                for (int number = 1; number <= RELEASE_COUNT; number++) {
                     for (int i = 0; i < REQUESTS_PER_RELEASE; i++) {
                         String id = "r" + number + "-" + i;
-                        serve(port, id);
+                        assertServed(port, id);
                         served.add(id);
                         if (i == REQUESTS_PER_RELEASE / 2) {
-                            releases.add(release(number + 1, server.address()));
+                            releases.add(endpointListJson(number + 1, backend.address()));
                         }
                     }
-                    live.add(liveMegabytes(node.process));
+                    liveMegabytes.add(liveMegabytes(server.process));
                 }
-                assertTrue("still running", node.process.isAlive());
+                assertTrue("still running", server.process.isAlive());
             }
-            assertEquals(RELEASES * REQUESTS_PER_RELEASE, served.size());
-            assertEquals("each request reached a server once", served.size(), server.requests.size());
-            assertTrue("MB that stay: " + live, live.stream().allMatch(megabytes -> megabytes <= MAX_LIVE_MB));
+            assertEquals(RELEASE_COUNT * REQUESTS_PER_RELEASE, served.size());
+            assertEquals("each request reached a server once", served.size(), backend.requests.size());
+            assertTrue(
+                    "MB that stay: " + liveMegabytes,
+                    liveMegabytes.stream().allMatch(megabytes -> megabytes <= MAX_LIVE_MB));
         }
     }
 }
--- a/node/src/test/java/fawnlb/cli/LogWriterTest.java
+++ b/node/src/test/java/fawnlb/cli/LogWriterTest.java
@@ -13,16 +13,16 @@
 
 public class LogWriterTest {
     /** A handler whose reader has gone away until it is let go on. */
-    private static final class Stuck extends Handler {
+    private static final class BlockedHandler extends Handler {
         final CountDownLatch reached = new CountDownLatch(1);
-        final CountDownLatch on = new CountDownLatch(1);
+        final CountDownLatch released = new CountDownLatch(1);
         final List<String> lines = new CopyOnWriteArrayList<>();
 
         @Override
         public void publish(LogRecord record) {
             reached.countDown();
             try {
-                on.await();
+                released.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -37,19 +37,21 @@
     }
 
     @Test
-    public void whoeverLogsNeverWaitsAndWhatIsLeftOutIsCounted() throws Exception {
-        Stuck stuck = new Stuck();
-        LogWriter log = new LogWriter(stuck);
+    public void fullQueueDropsAndCountsLinesWithoutBlocking() throws Exception {
+        BlockedHandler handler = new BlockedHandler();
+        LogWriter log = new LogWriter(handler);
         log.publish(new LogRecord(Level.INFO, "first"));
-        stuck.reached.await();
-        for (int i = 0; i < LogWriter.ROOM + 5; i++) {
+        handler.reached.await();
+        for (int i = 0; i < LogWriter.QUEUE_CAPACITY + 5; i++) {
             log.publish(new LogRecord(Level.INFO, "line " + i));
         }
-        log.await(20);
-        assertEquals(List.of(), stuck.lines);
-        stuck.on.countDown();
-        Rigged.until("all written", () -> stuck.lines.size() == LogWriter.ROOM + 2);
-        assertEquals("first", stuck.lines.get(0));
-        assertTrue(stuck.lines.toString(), stuck.lines.get(LogWriter.ROOM + 1).startsWith("5 log lines were left out"));
+        log.awaitWritten(20);
+        assertEquals(List.of(), handler.lines);
+        handler.released.countDown();
+        ServerHarness.waitUntil("all written", () -> handler.lines.size() == LogWriter.QUEUE_CAPACITY + 2);
+        assertEquals("first", handler.lines.get(0));
+        assertTrue(
+                handler.lines.toString(),
+                handler.lines.get(LogWriter.QUEUE_CAPACITY + 1).startsWith("5 log lines were left out"));
     }
 }
--- a/node/src/test/java/fawnlb/cli/ReadinessTest.java
+++ b/node/src/test/java/fawnlb/cli/ReadinessTest.java
@@ -1,10 +1,10 @@
 package fawnlb.cli;
 
-import static fawnlb.cli.StandIn.CHUNKED;
-import static fawnlb.cli.StandIn.EMPTY;
-import static fawnlb.cli.StandIn.chunk;
-import static fawnlb.cli.StandIn.head;
-import static fawnlb.cli.StandIn.write;
+import static fawnlb.cli.FakeHttpServer.CHUNKED_ENCODING;
+import static fawnlb.cli.FakeHttpServer.NO_BODY;
+import static fawnlb.cli.FakeHttpServer.chunk;
+import static fawnlb.cli.FakeHttpServer.responseHead;
+import static fawnlb.cli.FakeHttpServer.write;
 import static org.junit.Assert.assertTrue;
 
 import java.io.IOException;
@@ -19,13 +19,14 @@
 
 /** A node that was started anew is ready within 10 s, in whatever state discovery is. */
 public class ReadinessTest {
-    private static final long BOUND = TimeUnit.SECONDS.toNanos(10);
-    private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    private static final String LIST = "{\"revision\":2,\"complete\":true,\"members\":[]}\n";
+    private static final long READY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final String READINESS_REQUEST =
+            "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    private static final String EMPTY_ENDPOINT_LIST = "{\"revision\":2,\"complete\":true,\"members\":[]}\n";
 
-    private static String ready(Rigged rig) {
+    private static String readReadiness(ServerHarness harness) {
         try {
-            return rig.ask(0, READY);
+            return harness.exchange(0, READINESS_REQUEST);
         } catch (IOException e) {
             return "";
         }
@@ -34,32 +35,34 @@
     private static void assertReadyInTime(String discovery) throws Exception {
         for (String mode : new String[] {"automatic", "subscribe"}) {
             long began = System.nanoTime();
-            try (Rigged rig = new Rigged(Rigged.config(mode, discovery, ""), null, "{}")) {
-                Rigged.until(mode + ": ready", () -> ready(rig).startsWith("HTTP/1.1 200"));
+            try (ServerHarness harness = new ServerHarness(ServerHarness.configJson(mode, discovery, ""), null, "{}")) {
+                ServerHarness.waitUntil(
+                        mode + ": ready", () -> readReadiness(harness).startsWith("HTTP/1.1 200"));
             }
             long took = System.nanoTime() - began;
-            assertTrue(mode + ": ready after " + took / 1_000_000 + " ms", took < BOUND);
+            assertTrue(mode + ": ready after " + took / 1_000_000 + " ms", took < READY_TIMEOUT_NANOS);
         }
     }
 
-    private static void assertReadyInTime(StandIn.Script script) throws Exception {
-        try (StandIn discovery = new StandIn(script)) {
+    private static void assertReadyInTime(FakeHttpServer.ResponseScript script) throws Exception {
+        try (FakeHttpServer discovery = new FakeHttpServer(script)) {
             assertReadyInTime(discovery.address());
         }
     }
 
     @Test
-    public void nodeIsReadyWhereDiscoveryAnswers() throws Exception {
-        assertReadyInTime((request, socket) -> write(socket, head(200, CHUNKED) + chunk(LIST)));
+    public void readyWhenDiscoveryResponds() throws Exception {
+        assertReadyInTime(
+                (request, socket) -> write(socket, responseHead(200, CHUNKED_ENCODING) + chunk(EMPTY_ENDPOINT_LIST)));
     }
 
     @Test
-    public void nodeIsReadyWhereDiscoveryIsAway() throws Exception {
-        assertReadyInTime("127.0.0.1:" + Rigged.closedPort());
+    public void readyWhenDiscoveryRefusesConnections() throws Exception {
+        assertReadyInTime("127.0.0.1:" + ServerHarness.unusedPort());
     }
 
     @Test
-    public void nodeIsReadyWhereConnectsToDiscoveryNeverComeUp() throws Exception {
+    public void readyWhenConnectsToDiscoveryTimeOut() throws Exception {
         List<SocketChannel> queue = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress address = new InetSocketAddress(full.getInetAddress(), full.getLocalPort());
@@ -78,20 +81,23 @@
     }
 
     @Test
-    public void nodeIsReadyWhereDiscoveryIsCrowded() throws Exception {
-        assertReadyInTime((request, socket) -> write(socket, head(503, EMPTY)));
+    public void readyWhenDiscoveryIsThrottled() throws Exception {
+        assertReadyInTime((request, socket) -> write(socket, responseHead(503, NO_BODY)));
     }
 
     @Test
-    public void nodeIsReadyWhereDiscoveryNeverAnswers() throws Exception {
+    public void readyWhenDiscoveryNeverResponds() throws Exception {
         assertReadyInTime((request, socket) -> socket.getInputStream().read());
     }
 
     @Test
-    public void nodeIsReadyWhereDiscoveryAnswersSlowlyAndInPieces() throws Exception {
+    public void readyWhenDiscoveryRespondsSlowlyInFragments() throws Exception {
         assertReadyInTime((request, socket) -> {
-            for (String piece :
-                    new String[] {head(200, CHUNKED), chunk(LIST.substring(0, 9)), chunk(LIST.substring(9))}) {
+            for (String piece : new String[] {
+                responseHead(200, CHUNKED_ENCODING),
+                chunk(EMPTY_ENDPOINT_LIST.substring(0, 9)),
+                chunk(EMPTY_ENDPOINT_LIST.substring(9))
+            }) {
                 TimeUnit.MILLISECONDS.sleep(700);
                 write(socket, piece);
             }
@@ -99,7 +105,7 @@
     }
 
     @Test
-    public void nodeIsReadyWhereDiscoveryResetsItsConnections() throws Exception {
+    public void readyWhenDiscoveryResetsConnections() throws Exception {
         assertReadyInTime((request, socket) -> {
             socket.setSoLinger(true, 0);
             socket.close();
--- a/node/src/test/java/fawnlb/cli/Launch.java
+++ b/node/src/test/java/fawnlb/cli/ServerProcess.java
@@ -15,15 +15,15 @@
 import java.util.regex.Pattern;
 
 /** The program in a process of its own, as the deploy file starts it. */
-final class Launch {
-    private Launch() {}
+final class ServerProcess {
+    private ServerProcess() {}
 
     static Process start(String command, String... arguments) throws IOException {
-        return after("", command, arguments);
+        return startAfter("", command, arguments);
     }
 
     /** Shell: what a shell does before the program takes its place, such as {@code ulimit -n 200}. */
-    static Process after(String shell, String command, String... arguments) throws IOException {
+    static Process startAfter(String shell, String command, String... arguments) throws IOException {
         Matcher line = Pattern.compile("(?m)^run = \"((?:[A-Z_]+=\\S+ )*)exec java (.*) serve\"$")
                 .matcher(Files.readString(Path.of("../deploy/balancer.toml")));
         assertTrue(line.find());
@@ -36,25 +36,25 @@
     }
 
     /** A process whose output is read, and which ends with its test. */
-    static final class Running implements AutoCloseable {
+    static final class RunningServer implements AutoCloseable {
         final Process process;
         final BufferedReader log;
 
-        Running(Process process) {
+        RunningServer(Process process) {
             this.process = process;
             this.log = new BufferedReader(new InputStreamReader(process.getInputStream()));
         }
 
         /** Reads on to the line that holds these words; all that was read. */
-        String until(String words) throws IOException {
-            StringBuilder said = new StringBuilder();
+        String readLogUntil(String text) throws IOException {
+            StringBuilder output = new StringBuilder();
             for (String line = log.readLine(); line != null; line = log.readLine()) {
-                said.append(line).append('\n');
-                if (line.contains(words)) {
-                    return said.toString();
+                output.append(line).append('\n');
+                if (line.contains(text)) {
+                    return output.toString();
                 }
             }
-            throw new IOException("the process ended without '" + words + "'");
+            throw new IOException("the process ended without '" + text + "'");
         }
 
         @Override
@@ -65,7 +65,7 @@
     }
 
     /** Sends a signal by its name; unlike {@link Process#destroy}, it leaves what the process says to be read. */
-    static void signal(Process process, String name) throws Exception {
+    static void sendSignal(Process process, String name) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
@@ -74,8 +74,8 @@
     }
 
     /** Connects to the front that the node's log names after these words. */
-    static Socket connect(BufferedReader log, String words) throws IOException {
-        Pattern serves = Pattern.compile(words + " /?127\\.0\\.0\\.1:(\\d+)");
+    static Socket connect(BufferedReader log, String addressLabel) throws IOException {
+        Pattern serves = Pattern.compile(addressLabel + " /?127\\.0\\.0\\.1:(\\d+)");
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             Matcher matcher = serves.matcher(line);
             if (matcher.find()) {
--- a/node/src/test/java/fawnlb/cli/LongDaysIT.java
+++ b/node/src/test/java/fawnlb/cli/ServerProcessIT.java
@@ -1,16 +1,16 @@
 package fawnlb.cli;
 
-import static fawnlb.cli.Launch.connect;
-import static fawnlb.cli.Launch.signal;
-import static fawnlb.cli.StandIn.CHUNKED;
-import static fawnlb.cli.StandIn.chunk;
-import static fawnlb.cli.StandIn.head;
-import static fawnlb.cli.StandIn.write;
+import static fawnlb.cli.FakeHttpServer.CHUNKED_ENCODING;
+import static fawnlb.cli.FakeHttpServer.chunk;
+import static fawnlb.cli.FakeHttpServer.responseHead;
+import static fawnlb.cli.FakeHttpServer.write;
+import static fawnlb.cli.ServerProcess.connect;
+import static fawnlb.cli.ServerProcess.sendSignal;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.cli.Launch.Running;
+import fawnlb.cli.ServerProcess.RunningServer;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -29,26 +29,28 @@
 import org.junit.Test;
 
 /** What long days bring to the process as a whole, on the program as the deploy file starts it. */
-public class LongDaysIT {
-    private static final String START = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n";
-    private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+public class ServerProcessIT {
+    private static final String REQUEST_HEAD = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n";
+    private static final String READINESS_REQUEST =
+            "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
 
     /**
      * Silent clients by hundreds at once: without a descriptor left, XNIO accepts nothing for 250 ms at a time, and the
      * node neither served nor refused anyone for three seconds after the burst.
      */
     @Test
-    public void aBurstOfSilentClientsDoesNotTakeTheLastDescriptor() throws Exception {
-        Path config = Rigged.file(Rigged.config("automatic", "127.0.0.1:1", ""));
+    public void silentClientBurstLeavesDescriptorsForOthers() throws Exception {
+        Path config = ServerHarness.temporaryFile(ServerHarness.configJson("automatic", "127.0.0.1:1", ""));
         List<SocketChannel> silent = new ArrayList<>();
-        try (Running node = new Running(Launch.after(
+        try (RunningServer server = new RunningServer(ServerProcess.startAfter(
                         "ulimit -n 200",
                         "serve",
                         "--config",
                         config.toString(),
                         "--start",
-                        Rigged.file("{\"probation\":{\"on\":false}}").toString()));
-                Socket first = connect(node.log, "serves on")) {
+                        ServerHarness.temporaryFile("{\"probation\":{\"on\":false}}")
+                                .toString()));
+                Socket first = connect(server.log, "serves on")) {
             for (int i = 0; i < 600; i++) {
                 SocketChannel client = SocketChannel.open();
                 silent.add(client);
@@ -56,12 +58,12 @@
                 client.connect(new InetSocketAddress("127.0.0.1", first.getPort()));
             }
             try (Socket late = connect(first.getPort())) {
-                write(late, READY);
+                write(late, READINESS_REQUEST);
                 String answer = new String(late.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
                 assertTrue(answer, answer.startsWith("HTTP/1.1 200"));
             }
-            signal(node.process, "TERM");
-            String rest = node.log.lines().collect(Collectors.joining("\n"));
+            sendSignal(server.process, "TERM");
+            String rest = server.log.lines().collect(Collectors.joining("\n"));
             assertFalse(rest, rest.contains("Too many open files"));
         } finally {
             for (SocketChannel client : silent) {
@@ -75,9 +77,9 @@
      * not read leave waiting: together they were more than the heap, and the process ended with status 3.
      */
     @Test
-    public void headsAndBodiesOfAllClientsAtOnceFitTheHeap() throws Exception {
+    public void incompleteHeadsAndPendingBodiesFitHeap() throws Exception {
         List<String> heads = IntStream.of(110, 240)
-                .mapToObj(length -> START
+                .mapToObj(length -> REQUEST_HEAD
                         + IntStream.range(0, 62)
                                 .mapToObj(i -> "X-" + i + ": " + "y".repeat(length) + "\r\n")
                                 .collect(Collectors.joining()))
@@ -86,17 +88,17 @@
         try (ServerSocket deaf = new ServerSocket()) {
             deaf.setReceiveBufferSize(4096);
             deaf.bind(new InetSocketAddress("127.0.0.1", 0), 1000);
-            Path config = Rigged.file(Rigged.config(
+            Path config = ServerHarness.temporaryFile(ServerHarness.configJson(
                             "automatic",
                             "127.0.0.1:1",
-                            Rigged.member(1, "127.0.0.1:" + deaf.getLocalPort(), "c", "ready"))
+                            ServerHarness.endpointJson(1, "127.0.0.1:" + deaf.getLocalPort(), "c", "ready"))
                     .replace("\"sockets\":200", "\"sockets\":1024")
                     .replace("\"most-held\":100", "\"most-held\":2000"));
-            Path believed = Rigged.file("{\"probation\":{\"on\":false}}");
+            Path believed = ServerHarness.temporaryFile("{\"probation\":{\"on\":false}}");
             List<Socket> clients = new ArrayList<>();
-            try (Running node = new Running(Launch.after(
+            try (RunningServer server = new RunningServer(ServerProcess.startAfter(
                             "ulimit -n 1024", "serve", "--config", config.toString(), "--start", believed.toString()));
-                    Socket first = connect(node.log, "serves on")) {
+                    Socket first = connect(server.log, "serves on")) {
                 for (String head : heads) {
                     for (int i = 0; i < 620; i++) {
                         Socket client = connect(first.getPort());
@@ -105,7 +107,8 @@
                                 client,
                                 i < 520
                                         ? head
-                                        : START + "X-Request-Id: " + head.length() + "-" + i + "\r\nX-Class: chat\r\n"
+                                        : REQUEST_HEAD + "X-Request-Id: " + head.length() + "-" + i
+                                                + "\r\nX-Class: chat\r\n"
                                                 + "X-Deadline-Ms: 4000\r\nContent-Length: " + body.length() + "\r\n\r\n"
                                                 + body);
                     }
@@ -116,7 +119,7 @@
                     }
                     clients.clear();
                 }
-                assertTrue("still running", node.process.isAlive());
+                assertTrue("still running", server.process.isAlive());
             } finally {
                 for (Socket client : clients) {
                     client.close();
@@ -127,29 +130,29 @@
 
     /** A line longer than a pipe holds, from a process whose output nobody reads: the I/O thread waited for ever. */
     @Test
-    public void aNodeWhoseLogNobodyReadsServesOn() throws Exception {
-        try (StandIn discovery = new StandIn((request, socket) -> write(
+    public void unreadLogOutputDoesNotBlockServing() throws Exception {
+        try (FakeHttpServer discovery = new FakeHttpServer((request, socket) -> write(
                 socket,
-                head(200, CHUNKED)
+                responseHead(200, CHUNKED_ENCODING)
                         + chunk("{\"revision\":2," + "\"members\":["
-                                + Rigged.member(1, "x".repeat(200_000) + ":y", "c", "ready") + "]}\n")
+                                + ServerHarness.endpointJson(1, "x".repeat(200_000) + ":y", "c", "ready") + "]}\n")
                         + "0\r\n\r\n"))) {
-            int port = Rigged.closedPort();
-            Path config = Rigged.file(
-                    Rigged.config("subscribe", discovery.address(), "").replace(":0\"", ":" + port + '"'));
-            Process node = Launch.start("serve", "--config", config.toString());
+            int port = ServerHarness.unusedPort();
+            Path config = ServerHarness.temporaryFile(ServerHarness.configJson("subscribe", discovery.address(), "")
+                    .replace(":0\"", ":" + port + '"'));
+            Process server = ServerProcess.start("serve", "--config", config.toString());
             try {
-                Rigged.until("asked for the list again and again", () -> discovery.requests.size() >= 3);
+                ServerHarness.waitUntil("asked for the list again and again", () -> discovery.requests.size() >= 3);
                 try (Socket client = connect(port)) {
                     client.setSoTimeout(3000);
-                    write(client, READY);
+                    write(client, READINESS_REQUEST);
                     assertTrue(new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
                             .startsWith("HTTP/1.1 200"));
                 }
-                signal(node, "TERM");
-                assertTrue("ends", node.waitFor(10, TimeUnit.SECONDS));
+                sendSignal(server, "TERM");
+                assertTrue("ends", server.waitFor(10, TimeUnit.SECONDS));
             } finally {
-                node.destroyForcibly();
+                server.destroyForcibly();
             }
         }
     }
@@ -158,44 +161,45 @@
      * The platform closes the log as the program begins to end, and what went wrong from there on left nothing to read.
      */
     @Test
-    public void theLogGoesOnToTheEndAndSaysWhatIsIgnored() throws Exception {
+    public void logContinuesUntilExitAndReportsIgnoredSignals() throws Exception {
         CountDownLatch ending = new CountDownLatch(1);
-        try (StandIn backend = new StandIn((request, socket) -> {
-            write(socket, head(200, CHUNKED) + chunk("data: a\n\n"));
+        try (FakeHttpServer backend = new FakeHttpServer((request, socket) -> {
+            write(socket, responseHead(200, CHUNKED_ENCODING) + chunk("data: a\n\n"));
             ending.await(10, TimeUnit.SECONDS);
             write(socket, chunk("data: [DONE]\n\n") + "0\r\n\r\n");
         })) {
-            Path config = Rigged.file(
-                    Rigged.config("automatic", "127.0.0.1:1", Rigged.member(1, backend.address(), "c", "ready")));
-            try (Running node = new Running(Launch.start("serve", "--config", config.toString()));
-                    Socket client = connect(node.log, "serves on")) {
-                write(client, Rigged.chat("id", 3000));
+            Path config = ServerHarness.temporaryFile(ServerHarness.configJson(
+                    "automatic", "127.0.0.1:1", ServerHarness.endpointJson(1, backend.address(), "c", "ready")));
+            try (RunningServer server = new RunningServer(ServerProcess.start("serve", "--config", config.toString()));
+                    Socket client = connect(server.log, "serves on")) {
+                write(client, ServerHarness.chatRequest("id", 3000));
                 assertTrue(client.getInputStream().read() > 0);
-                signal(node.process, "TERM");
+                sendSignal(server.process, "TERM");
                 Files.writeString(config, "{\"name\": ");
                 // The listener closes a moment after the signal: the end has begun by then.
-                Rigged.until("ending", () -> refuses(client.getPort()));
-                signal(node.process, "HUP");
+                ServerHarness.waitUntil("ending", () -> refusesConnections(client.getPort()));
+                sendSignal(server.process, "HUP");
                 // The log goes on.
-                node.until("not reloaded");
+                server.readLogUntil("not reloaded");
                 ending.countDown();
-                assertTrue("ends by itself", node.process.waitFor(5, TimeUnit.SECONDS));
-                assertEquals(143, node.process.exitValue());
+                assertTrue("ends by itself", server.process.waitFor(5, TimeUnit.SECONDS));
+                assertEquals(143, server.process.exitValue());
             } finally {
                 ending.countDown();
             }
         }
-        try (Running deaf = new Running(Launch.after(
+        try (RunningServer deaf = new RunningServer(ServerProcess.startAfter(
                 "trap '' HUP",
                 "serve",
                 "--config",
-                Rigged.file(Rigged.config("automatic", "127.0.0.1:1", "")).toString()))) {
-            String said = deaf.until("serves on");
+                ServerHarness.temporaryFile(ServerHarness.configJson("automatic", "127.0.0.1:1", ""))
+                        .toString()))) {
+            String said = deaf.readLogUntil("serves on");
             assertTrue(said, said.contains("SIGHUP is ignored"));
         }
     }
 
-    private static boolean refuses(int port) {
+    private static boolean refusesConnections(int port) {
         try {
             connect(port).close();
             return false;
@@ -206,14 +210,14 @@
 
     /** A supervisor may start the next node while the last one is still ending: it did not start, with status 1. */
     @Test
-    public void aNodeWhosePredecessorStillListensStartsWhenItHasGone() throws Exception {
+    public void startWaitsUntilPredecessorReleasesAddress() throws Exception {
         ServerSocket predecessor = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        Path config = Rigged.file(
-                Rigged.config("automatic", "127.0.0.1:1", "").replace(":0\"", ":" + predecessor.getLocalPort() + '"'));
-        try (Running node = new Running(Launch.start("serve", "--config", config.toString()))) {
-            node.until("in use");
+        Path config = ServerHarness.temporaryFile(ServerHarness.configJson("automatic", "127.0.0.1:1", "")
+                .replace(":0\"", ":" + predecessor.getLocalPort() + '"'));
+        try (RunningServer server = new RunningServer(ServerProcess.start("serve", "--config", config.toString()))) {
+            server.readLogUntil("in use");
             predecessor.close();
-            connect(node.log, "serves on").close();
+            connect(server.log, "serves on").close();
         } finally {
             predecessor.close();
         }
--- a/node/src/test/java/fawnlb/cli/StartWithoutDiscoveryTest.java
+++ b/node/src/test/java/fawnlb/cli/StartWithoutDiscoveryTest.java
@@ -1,14 +1,14 @@
 package fawnlb.cli;
 
-import static fawnlb.cli.StandIn.CHUNKED;
-import static fawnlb.cli.StandIn.chunk;
-import static fawnlb.cli.StandIn.head;
-import static fawnlb.cli.StandIn.write;
+import static fawnlb.cli.FakeHttpServer.CHUNKED_ENCODING;
+import static fawnlb.cli.FakeHttpServer.chunk;
+import static fawnlb.cli.FakeHttpServer.responseHead;
+import static fawnlb.cli.FakeHttpServer.write;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.Balancer.Phase;
-import fawnlb.discovery.Member;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.snapshot.Snapshot;
 import fawnlb.snapshot.SnapshotStore;
 import java.io.IOException;
@@ -24,58 +24,59 @@
 
 /** Starts from a remembered list, on real sockets: discovery is nowhere unless the test brings it. */
 public class StartWithoutDiscoveryTest {
-    private static final String NOWHERE = "127.0.0.1:1";
+    private static final String UNREACHABLE = "127.0.0.1:1";
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
-    private static StandIn serving() throws Exception {
-        return new StandIn(
-                (request, socket) -> write(socket, head(200, CHUNKED) + chunk("data: [DONE]\n\n") + "0\r\n\r\n"));
+    private static FakeHttpServer servingBackend() throws Exception {
+        return new FakeHttpServer((request, socket) ->
+                write(socket, responseHead(200, CHUNKED_ENCODING) + chunk("data: [DONE]\n\n") + "0\r\n\r\n"));
     }
 
-    private static Member member(int number, String address) {
+    private static DiscoveredEndpoint endpoint(int number, String address) {
         int colon = address.lastIndexOf(':');
-        return new Member(
+        return new DiscoveredEndpoint(
                 "s-0000000" + number,
                 address.substring(0, colon),
                 Integer.parseInt(address.substring(colon + 1)),
                 "a",
                 "c",
                 0,
-                Phase.READY,
+                EndpointPhase.READY,
                 1,
                 0);
     }
 
-    private String start(String more, Member... remembered) throws Exception {
+    private String startJson(String extraFields, DiscoveredEndpoint... restored) throws Exception {
         Path file = folder.getRoot().toPath().resolve("list");
         long now = System.currentTimeMillis();
-        if (remembered.length > 0) {
+        if (restored.length > 0) {
             new SnapshotStore(file)
                     .write(new Snapshot(
                             now,
                             99,
-                            Arrays.stream(remembered)
+                            Arrays.stream(restored)
                                     .map(member -> new Snapshot.Entry(member, now, now))
                                     .toList()));
         }
-        return "{\"snapshot\":{\"file\":\"" + file + "\",\"least-interval-ms\":100}" + more + "}";
+        return "{\"snapshot\":{\"file\":\"" + file + "\",\"least-interval-ms\":100}" + extraFields + "}";
     }
 
     @Test
-    public void aNodeServesFromWhatItRemembersWhileDiscoveryIsDown() throws Exception {
-        String away;
-        try (StandIn gone = serving()) {
-            away = gone.address();
+    public void restoredEndpointsServeWhileDiscoveryIsDown() throws Exception {
+        String closedAddress;
+        try (FakeHttpServer gone = servingBackend()) {
+            closedAddress = gone.address();
         }
-        try (StandIn backend = serving()) {
-            try (Rigged rigged = new Rigged(
-                    Rigged.config("subscribe", NOWHERE, ""),
+        try (FakeHttpServer backend = servingBackend()) {
+            try (ServerHarness harness = new ServerHarness(
+                    ServerHarness.configJson("subscribe", UNREACHABLE, ""),
                     null,
-                    start("", member(1, backend.address()), member(2, away)))) {
+                    startJson("", endpoint(1, backend.address()), endpoint(2, closedAddress)))) {
                 for (int i = 0; i < 5; i++) {
-                    String answer = rigged.ask(0, Rigged.chat("id" + i, 3000, "X-Key: a" + i + "\r\n"));
+                    String answer =
+                            harness.exchange(0, ServerHarness.chatRequest("id" + i, 3000, "X-Key: a" + i + "\r\n"));
                     assertTrue(answer, answer.startsWith("HTTP/1.1 200"));
                 }
             }
@@ -87,41 +88,41 @@
      * time that passes tells; an answer does, be it that nothing has changed, and so does a call that fails.
      */
     @Test
-    public void aNodeIsReadyAndTriesRememberedBackendsOnceDiscoveryHasSpokenAndNotBefore() throws Exception {
+    public void configuredEndpointsAreUsedOnlyAfterDiscoveryResponds() throws Exception {
         String ready = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         for (String word : new String[] {
-            head(200, CHUNKED) + chunk("\n"),
-            head(200, CHUNKED) + chunk("{\"revision\":2," + "\"members\":[]}\n"),
-            head(503, "Content-Length: 0\r\n")
+            responseHead(200, CHUNKED_ENCODING) + chunk("\n"),
+            responseHead(200, CHUNKED_ENCODING) + chunk("{\"revision\":2," + "\"members\":[]}\n"),
+            responseHead(503, "Content-Length: 0\r\n")
         }) {
             CountDownLatch speaks = new CountDownLatch(1);
-            try (StandIn backend = serving();
-                    StandIn discovery = new StandIn((request, socket) -> {
+            try (FakeHttpServer backend = servingBackend();
+                    FakeHttpServer discovery = new FakeHttpServer((request, socket) -> {
                         speaks.await(10, TimeUnit.SECONDS);
                         write(socket, word);
                         socket.getInputStream().read();
                     });
-                    Rigged rigged = new Rigged(
-                            Rigged.config(
+                    ServerHarness harness = new ServerHarness(
+                            ServerHarness.configJson(
                                     "subscribe",
                                     discovery.address(),
-                                    Rigged.member(1, backend.address(), "c", "ready")),
+                                    ServerHarness.endpointJson(1, backend.address(), "c", "ready")),
                             null,
                             "{}")) {
-                Rigged.until("asked", () -> !discovery.requests.isEmpty());
-                assertTrue(rigged.ask(0, ready).startsWith("HTTP/1.1 503"));
-                String early = rigged.ask(0, Rigged.chat("early", 100));
+                ServerHarness.waitUntil("asked", () -> !discovery.requests.isEmpty());
+                assertTrue(harness.exchange(0, ready).startsWith("HTTP/1.1 503"));
+                String early = harness.exchange(0, ServerHarness.chatRequest("early", 100));
                 assertTrue(early, early.startsWith("HTTP/1.1 503") && early.contains("Retry-After"));
                 assertEquals(0, backend.requests.size());
                 speaks.countDown();
-                Rigged.until("ready", () -> {
+                ServerHarness.waitUntil("ready", () -> {
                     try {
-                        return rigged.ask(0, ready).startsWith("HTTP/1.1 200");
+                        return harness.exchange(0, ready).startsWith("HTTP/1.1 200");
                     } catch (IOException e) {
                         return false;
                     }
                 });
-                String answer = rigged.ask(0, Rigged.chat("id", 3000));
+                String answer = harness.exchange(0, ServerHarness.chatRequest("id", 3000));
                 assertTrue(answer, answer.startsWith("HTTP/1.1 200"));
             }
         }
@@ -129,23 +130,23 @@
 
     /** Nothing more is sent to a backend that has not yet answered than its room: here one of three nodes' eight. */
     @Test
-    public void anUnprovenBackendHoldsFewThatWait() throws Exception {
+    public void unverifiedBackendIsLimitedToProbeRequests() throws Exception {
         CountDownLatch answering = new CountDownLatch(1);
-        try (StandIn backend = new StandIn((request, socket) -> {
+        try (FakeHttpServer backend = new FakeHttpServer((request, socket) -> {
             answering.await(10, TimeUnit.SECONDS);
-            write(socket, head(200, CHUNKED) + chunk("data: [DONE]\n\n") + "0\r\n\r\n");
+            write(socket, responseHead(200, CHUNKED_ENCODING) + chunk("data: [DONE]\n\n") + "0\r\n\r\n");
         })) {
-            try (Rigged rigged = new Rigged(
-                    Rigged.config("subscribe", NOWHERE, ""),
+            try (ServerHarness harness = new ServerHarness(
+                    ServerHarness.configJson("subscribe", UNREACHABLE, ""),
                     null,
-                    start(",\"probation\":{\"waiting\":2}", member(1, backend.address())))) {
+                    startJson(",\"probation\":{\"waiting\":2}", endpoint(1, backend.address())))) {
                 Socket[] clients = new Socket[6];
                 for (int i = 0; i < clients.length; i++) {
-                    clients[i] = rigged.connect(0);
-                    write(clients[i], Rigged.chat("id" + i, 6000));
+                    clients[i] = harness.connect(0);
+                    write(clients[i], ServerHarness.chatRequest("id" + i, 6000));
                 }
-                Rigged.until("six taken", () -> rigged.node.open() == clients.length);
-                Rigged.until("two out", () -> backend.requests.size() == 2);
+                ServerHarness.waitUntil("six taken", () -> harness.server.openRequests() == clients.length);
+                ServerHarness.waitUntil("two out", () -> backend.requests.size() == 2);
                 answering.countDown();
                 for (Socket client : clients) {
                     assertTrue(new String(client.getInputStream().readAllBytes()).startsWith("HTTP/1.1 200"));
@@ -157,34 +158,35 @@
     }
 
     @Test
-    public void discoveryWinsWhenItReturnsAndItsListIsRemembered() throws Exception {
-        try (StandIn remembered = serving();
-                StandIn listed = serving();
-                StandIn discovery = new StandIn((request, socket) -> write(
+    public void discoveredListReplacesRestoredListAndIsSaved() throws Exception {
+        try (FakeHttpServer remembered = servingBackend();
+                FakeHttpServer listed = servingBackend();
+                FakeHttpServer discovery = new FakeHttpServer((request, socket) -> write(
                         socket,
-                        head(200, CHUNKED)
+                        responseHead(200, CHUNKED_ENCODING)
                                 + chunk("{\"revision\":3,\"complete\":true,\"members\":["
-                                        + Rigged.member(2, listed.address(), "c", "ready") + "]}\n")))) {
-            try (Rigged rigged = new Rigged(
-                    Rigged.config("subscribe", discovery.address(), ""),
+                                        + ServerHarness.endpointJson(2, listed.address(), "c", "ready") + "]}\n")))) {
+            try (ServerHarness harness = new ServerHarness(
+                    ServerHarness.configJson("subscribe", discovery.address(), ""),
                     null,
-                    start("", member(1, remembered.address())))) {
+                    startJson("", endpoint(1, remembered.address())))) {
                 Path file = folder.getRoot().toPath().resolve("list");
-                Rigged.until("remembered anew", () -> {
+                ServerHarness.waitUntil("remembered anew", () -> {
                     try {
                         return SnapshotStore.read(file)
                                 .entries()
                                 .get(0)
-                                .member()
+                                .endpoint()
                                 .id()
                                 .equals("s-00000002");
                     } catch (IOException e) {
                         return false;
                     }
                 });
-                assertTrue(discovery.requests.get(0).line().contains("from=0"));
+                assertTrue(discovery.requests.get(0).requestLine().contains("from=0"));
                 int before = remembered.requests.size();
-                assertTrue(rigged.ask(0, Rigged.chat("id", 3000)).startsWith("HTTP/1.1 200"));
+                assertTrue(harness.exchange(0, ServerHarness.chatRequest("id", 3000))
+                        .startsWith("HTTP/1.1 200"));
                 assertEquals(before, remembered.requests.size());
                 assertEquals(1, listed.requests.size());
             }
@@ -192,43 +194,52 @@
     }
 
     @Test
-    public void aDamagedFileStopsNoStartAndTheOlderOneIsTaken() throws Exception {
-        try (StandIn backend = serving()) {
-            String start = start("", member(1, backend.address()));
+    public void corruptSnapshotFallsBackToPreviousSnapshot() throws Exception {
+        try (FakeHttpServer backend = servingBackend()) {
+            String start = startJson("", endpoint(1, backend.address()));
             Path file = folder.getRoot().toPath().resolve("list");
             Files.copy(file, file.resolveSibling("list.1"));
             Files.write(file, new byte[] {1, 2, 3});
-            try (Rigged rigged = new Rigged(Rigged.config("subscribe", NOWHERE, ""), null, start)) {
-                assertTrue(rigged.ask(0, Rigged.chat("id", 3000)).startsWith("HTTP/1.1 200"));
+            try (ServerHarness harness =
+                    new ServerHarness(ServerHarness.configJson("subscribe", UNREACHABLE, ""), null, start)) {
+                assertTrue(harness.exchange(0, ServerHarness.chatRequest("id", 3000))
+                        .startsWith("HTTP/1.1 200"));
             }
         }
     }
 
     @Test
-    public void aListThatBreaksOffHalfWayChangesNothing() throws Exception {
-        try (StandIn backend = serving();
-                StandIn discovery = new StandIn((request, socket) -> {
-                    write(socket, head(200, CHUNKED) + "400\r\n{\"revision\":3,\"complete\":true,\"members\":[");
+    public void truncatedDiscoveryListIsIgnored() throws Exception {
+        try (FakeHttpServer backend = servingBackend();
+                FakeHttpServer discovery = new FakeHttpServer((request, socket) -> {
+                    write(
+                            socket,
+                            responseHead(200, CHUNKED_ENCODING)
+                                    + "400\r\n{\"revision\":3,\"complete\":true,\"members\":[");
                     socket.close();
                 })) {
-            try (Rigged rigged = new Rigged(
-                    Rigged.config("subscribe", discovery.address(), ""),
+            try (ServerHarness harness = new ServerHarness(
+                    ServerHarness.configJson("subscribe", discovery.address(), ""),
                     null,
-                    start("", member(1, backend.address())))) {
-                Rigged.until("asked again", () -> discovery.requests.size() > 1);
-                assertTrue(rigged.ask(0, Rigged.chat("id", 3000)).startsWith("HTTP/1.1 200"));
+                    startJson("", endpoint(1, backend.address())))) {
+                ServerHarness.waitUntil("asked again", () -> discovery.requests.size() > 1);
+                assertTrue(harness.exchange(0, ServerHarness.chatRequest("id", 3000))
+                        .startsWith("HTTP/1.1 200"));
             }
         }
     }
 
     @Test
-    public void withEveryListedBackendGoneARequestIsRefusedInTime() throws Exception {
-        String away;
-        try (StandIn gone = serving()) {
-            away = gone.address();
+    public void requestIsRejectedBeforeDeadlineWhenAllRestoredBackendsAreGone() throws Exception {
+        String closedAddress;
+        try (FakeHttpServer gone = servingBackend()) {
+            closedAddress = gone.address();
         }
-        try (Rigged rigged = new Rigged(Rigged.config("subscribe", NOWHERE, ""), null, start("", member(1, away)))) {
-            String answer = rigged.ask(0, Rigged.chat("id", 500));
+        try (ServerHarness harness = new ServerHarness(
+                ServerHarness.configJson("subscribe", UNREACHABLE, ""),
+                null,
+                startJson("", endpoint(1, closedAddress)))) {
+            String answer = harness.exchange(0, ServerHarness.chatRequest("id", 500));
             assertTrue(answer, answer.startsWith("HTTP/1.1 503") && answer.contains("Retry-After"));
         }
     }
