--- a/node/src/test/java/fawnlb/cli/DialectMatrixTest.java
+++ b/node/src/test/java/fawnlb/cli/TranslationMatrixTest.java
@@ -1,16 +1,16 @@
 package fawnlb.cli;
 
-import static fawnlb.cli.Rigged.until;
-import static fawnlb.cli.StandIn.CHUNKED;
-import static fawnlb.cli.StandIn.EMPTY;
-import static fawnlb.cli.StandIn.chunk;
-import static fawnlb.cli.StandIn.head;
-import static fawnlb.cli.StandIn.write;
+import static fawnlb.cli.FakeHttpServer.CHUNKED_ENCODING;
+import static fawnlb.cli.FakeHttpServer.NO_BODY;
+import static fawnlb.cli.FakeHttpServer.chunk;
+import static fawnlb.cli.FakeHttpServer.responseHead;
+import static fawnlb.cli.FakeHttpServer.write;
+import static fawnlb.cli.ServerHarness.waitUntil;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.dialect.Dialect;
+import fawnlb.translation.Dialect;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -29,23 +29,23 @@
 
 /** Each client dialect with each backend dialect, through every outcome, each of them counted. */
 @RunWith(Parameterized.class)
-public class DialectMatrixTest {
+public class TranslationMatrixTest {
     private static final String KEY = "x-api-key: k\r\n";
-    private final Dialect client;
-    private final Dialect backend;
-    private final AtomicInteger out = new AtomicInteger();
-    private final List<String> log = new ArrayList<>();
+    private final Dialect clientDialect;
+    private final Dialect backendDialect;
+    private final AtomicInteger openAttempts = new AtomicInteger();
+    private final List<String> syslogRecords = new ArrayList<>();
     private DatagramSocket collector;
-    private StandIn standIn;
-    private Rigged rig;
+    private FakeHttpServer fakeBackend;
+    private ServerHarness harness;
 
-    public DialectMatrixTest(Dialect client, Dialect backend) {
-        this.client = client;
-        this.backend = backend;
+    public TranslationMatrixTest(Dialect client, Dialect backend) {
+        this.clientDialect = client;
+        this.backendDialect = backend;
     }
 
     @Parameterized.Parameters(name = "{0} client, {1} target")
-    public static List<Object[]> pairs() {
+    public static List<Object[]> dialectPairs() {
         List<Object[]> pairs = new ArrayList<>();
         for (Dialect client : Dialect.values()) {
             for (Dialect backend : Dialect.values()) {
@@ -55,21 +55,21 @@
         return pairs;
     }
 
-    private static String text(Dialect dialect, String text) {
+    private static String textEvent(Dialect dialect, String text) {
         return dialect == Dialect.CHAT
                 ? "data: {\"choices\":[{\"delta\":{\"content\":\"" + text + "\"}}]}\n\n"
                 : "event: content_block_delta\ndata: {\"delta\":{\"type\":\"text_delta\",\"text\":\"" + text
                         + "\"}}\n\n";
     }
 
-    private static String begin(Dialect dialect) {
+    private static String startEvents(Dialect dialect) {
         return dialect == Dialect.CHAT
                 ? ""
                 : "event: message_start\ndata: {\"message\":{\"id\":\"m\",\"model\":\"m\","
                         + "\"usage\":{\"input_tokens\":4}}}\n\n";
     }
 
-    private static String end(Dialect dialect) {
+    private static String endEvents(Dialect dialect) {
         return dialect == Dialect.CHAT
                 ? "data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
                         + "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":4,\"completion_tokens\":3}}\n\ndata: [DONE]\n\n"
@@ -77,35 +77,42 @@
                         + "event: message_stop\ndata: {\"type\":\"message_stop\"}\n\n";
     }
 
-    private static String last(Dialect dialect) {
+    private static String lastEvent(Dialect dialect) {
         return dialect == Dialect.CHAT ? "data: [DONE]" : "event: message_stop";
     }
 
-    private void answer(StandIn.Request request, Socket socket) throws Exception {
-        out.incrementAndGet();
+    private void respond(FakeHttpServer.Request request, Socket socket) throws Exception {
+        openAttempts.incrementAndGet();
         try {
-            String first = head(200, CHUNKED) + chunk(begin(backend) + text(backend, "Hel"));
-            switch (request.id().replaceAll("-.*", "")) {
-                case "served" -> write(socket, first + chunk(text(backend, "lo") + end(backend)) + "0\r\n\r\n");
+            String first = responseHead(200, CHUNKED_ENCODING)
+                    + chunk(startEvents(backendDialect) + textEvent(backendDialect, "Hel"));
+            switch (request.requestId().replaceAll("-.*", "")) {
+                case "served" ->
+                    write(
+                            socket,
+                            first + chunk(textEvent(backendDialect, "lo") + endEvents(backendDialect)) + "0\r\n\r\n");
                 case "mixed" ->
                     write(
                             socket,
-                            head(200, CHUNKED)
-                                    + chunk("event: sparkle\ndata: {}\n\n" + begin(backend) + text(backend, "Hel"))
-                                    + chunk("event: glitter\ndata: a\ndata: b\n\n" + text(backend, "lo") + end(backend))
+                            responseHead(200, CHUNKED_ENCODING)
+                                    + chunk("event: sparkle\ndata: {}\n\n" + startEvents(backendDialect)
+                                            + textEvent(backendDialect, "Hel"))
+                                    + chunk("event: glitter\ndata: a\ndata: b\n\n" + textEvent(backendDialect, "lo")
+                                            + endEvents(backendDialect))
                                     + "0\r\n\r\n");
                 case "whole" -> {
-                    String body = backend == Dialect.CHAT
+                    String body = backendDialect == Dialect.CHAT
                             ? "{\"choices\":[{\"message\":{\"content\":\"Hello\"}}]}"
                             : "{\"type\":\"message\",\"content\":[{\"type\":\"text\",\"text\":\"Hello\"}]}";
-                    write(socket, head(200, "Content-Length: " + body.length() + "\r\n") + body);
+                    write(socket, responseHead(200, "Content-Length: " + body.length() + "\r\n") + body);
                 }
-                case "refused" -> write(socket, head(503, EMPTY, "X-Not-Run: 1\r\n"));
+                case "refused" -> write(socket, responseHead(503, NO_BODY, "X-Not-Run: 1\r\n"));
                 case "bad" ->
                     write(
                             socket,
-                            head(400, "Content-Length: 43\r\n") + "{\"error\":{\"message\":\"prompt is too long\"}} ");
-                case "failed" -> write(socket, head(500, EMPTY));
+                            responseHead(400, "Content-Length: 43\r\n")
+                                    + "{\"error\":{\"message\":\"prompt is too long\"}} ");
+                case "failed" -> write(socket, responseHead(500, NO_BODY));
                 case "broken" -> {
                     write(socket, first);
                     socket.close();
@@ -115,7 +122,7 @@
                     socket.close();
                 }
                 case "wholehalf" -> {
-                    write(socket, head(200, "Content-Length: 50\r\n") + "{\"choices\":[");
+                    write(socket, responseHead(200, "Content-Length: 50\r\n") + "{\"choices\":[");
                     socket.close();
                 }
                 case "cut" -> write(socket, first + "0\r\n\r\n");
@@ -126,7 +133,7 @@
                 default -> socket.getInputStream().read();
             }
         } finally {
-            out.decrementAndGet();
+            openAttempts.decrementAndGet();
         }
     }
 
@@ -134,38 +141,39 @@
     public void start() throws Exception {
         collector = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         collector.setSoTimeout(10_000);
-        standIn = new StandIn(this::answer);
+        fakeBackend = new FakeHttpServer(this::respond);
         String broker = "{\"listen\":\"127.0.0.1:0\",\"message-kinds\":[\"m\"],\"syslog\":{\"collector\":\"127.0.0.1:"
                 + collector.getLocalPort()
                 + "\"},\"teams\":[{\"name\":\"t\",\"key\":\"k\",\"classes\":[\"chat\",\"strict\"],"
                 + "\"models\":[\"m\"],\"deadline-ms\":3000,\"budget\":{\"requests\":12,\"tokens\":1000,\"window-ms\":60000}}]}";
-        rig = new Rigged(
-                Rigged.config(
+        harness = new ServerHarness(
+                ServerHarness.configJson(
                         "automatic",
                         "127.0.0.1:1",
-                        Rigged.member(1, standIn.address(), backend == Dialect.CHAT ? "c" : "m", "ready")),
+                        ServerHarness.endpointJson(
+                                1, fakeBackend.address(), backendDialect == Dialect.CHAT ? "c" : "m", "ready")),
                 broker);
     }
 
     @After
     public void stop() throws Exception {
-        rig.close();
-        standIn.close();
+        harness.close();
+        fakeBackend.close();
         collector.close();
     }
 
     private String request(String id, String... headers) {
         boolean stream = !id.startsWith("whole");
-        return Rigged.post(
-                client.path(),
+        return ServerHarness.postRequest(
+                clientDialect.path(),
                 "{\"model\":\"m\",\"max_tokens\":9,\"stream\":" + stream
                         + ",\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}",
                 KEY + "X-Request-Id: " + id + "\r\nX-Class: strict\r\n" + "Connection: close\r\n"
                         + String.join("", headers));
     }
 
-    private String ask(String id, String... headers) throws Exception {
-        return rig.ask(1, request(id, headers));
+    private String send(String id, String... headers) throws Exception {
+        return harness.exchange(1, request(id, headers));
     }
 
     /** The body without its chunk sizes. */
@@ -177,39 +185,44 @@
         return body(answer).replaceAll("\r\n", "");
     }
 
-    private Map<String, Integer> ends(int records) throws Exception {
+    private Map<String, Integer> receiveOutcomes(int records) throws Exception {
         Map<String, Integer> ends = new ConcurrentHashMap<>();
         for (int i = 0; i < records; i++) {
             DatagramPacket packet = new DatagramPacket(new byte[3000], 3000);
             collector.receive(packet);
             String record = new String(packet.getData(), 0, packet.getLength(), StandardCharsets.UTF_8);
-            log.add(record);
+            syslogRecords.add(record);
             ends.merge(record.replaceAll("(?s).* end=\"([a-z]+)\".*", "$1"), 1, Integer::sum);
         }
         return ends;
     }
 
     @Test
-    public void everyOutcomeIsMappedAndCounted() throws Exception {
-        String served = ask("served-1");
+    public void everyOutcomeIsTranslatedAndLogged() throws Exception {
+        String served = send("served-1");
         assertTrue(served, served.startsWith("HTTP/1.1 200") && served.endsWith("0\r\n\r\n"));
-        assertTrue(served, served.contains("Hel") && served.contains(last(client)));
+        assertTrue(served, served.contains("Hel") && served.contains(lastEvent(clientDialect)));
 
-        String mixed = ask("mixed-1");
-        assertTrue(mixed, mixed.contains(last(client)));
+        String mixed = send("mixed-1");
+        assertTrue(mixed, mixed.contains(lastEvent(clientDialect)));
         assertEquals(
                 "unknown events pass only between speakers of one dialect",
-                client == backend,
+                clientDialect == backendDialect,
                 mixed.contains("sparkle"));
-        if (client != backend) {
+        if (clientDialect != backendDialect) {
             assertEquals(events(served), events(mixed));
         } else {
-            assertTrue(served, events(served).contains(text(backend, "Hel") + text(backend, "lo") + end(backend)));
+            assertTrue(
+                    served,
+                    events(served)
+                            .contains(textEvent(backendDialect, "Hel")
+                                    + textEvent(backendDialect, "lo")
+                                    + endEvents(backendDialect)));
         }
 
-        String whole = ask("whole-1");
+        String whole = send("whole-1");
         assertTrue(whole, whole.contains("application/json") && whole.contains("Hello"));
-        assertEquals(whole, client == Dialect.CHAT, whole.contains("\"choices\""));
+        assertEquals(whole, clientDialect == Dialect.CHAT, whole.contains("\"choices\""));
 
         Object[][] fixed = {
             {"refused-1", "503", "overloaded_error", true},
@@ -217,55 +230,58 @@
             {"silent-1", "504", "timeout_error", false}
         };
         for (Object[] row : fixed) {
-            String answer = ask((String) row[0], "X-Deadline-Ms: 500\r\n");
+            String answer = send((String) row[0], "X-Deadline-Ms: 500\r\n");
             assertTrue(answer, answer.startsWith("HTTP/1.1 " + row[1]) && answer.contains("\"" + row[2] + "\""));
             assertEquals(answer, row[3], answer.contains("Retry-After: "));
-            assertEquals(answer, client == Dialect.MESSAGES, answer.contains("{\"type\":\"error\""));
+            assertEquals(answer, clientDialect == Dialect.MESSAGES, answer.contains("{\"type\":\"error\""));
         }
 
-        String bad = ask("bad-1");
+        String bad = send("bad-1");
         assertTrue(bad, bad.startsWith("HTTP/1.1 400") && bad.contains("prompt is too long"));
-        assertTrue(bad, client == backend || bad.contains("invalid_request_error"));
+        assertTrue(bad, clientDialect == backendDialect || bad.contains("invalid_request_error"));
 
-        String broken = ask("broken-1");
+        String broken = send("broken-1");
         assertTrue(broken, broken.contains("Hel"));
-        assertFalse(broken, broken.contains("\r\n0\r\n") || broken.contains(last(client)));
-        assertEquals(broken, client == Dialect.MESSAGES ? 1 : 0, broken.split("event: error\n", -1).length - 1);
+        assertFalse(broken, broken.contains("\r\n0\r\n") || broken.contains(lastEvent(clientDialect)));
+        assertEquals(broken, clientDialect == Dialect.MESSAGES ? 1 : 0, broken.split("event: error\n", -1).length - 1);
         assertTrue(
                 broken,
-                broken.contains("data: {" + (client == Dialect.MESSAGES ? "\"type\":\"error\"," : "")
+                broken.contains("data: {" + (clientDialect == Dialect.MESSAGES ? "\"type\":\"error\"," : "")
                         + "\"error\":{\"type\":\"api_error\""));
-        String half = ask("half-1");
-        assertEquals("behind half an event no other is put", client != backend, half.contains("\"error\":{"));
-        assertFalse(half, half.contains("\r\n0\r\n") || half.contains(last(client)));
-        String wholeHalf = ask("wholehalf-1");
+        String half = send("half-1");
+        assertEquals(
+                "behind half an event no other is put", clientDialect != backendDialect, half.contains("\"error\":{"));
+        assertFalse(half, half.contains("\r\n0\r\n") || half.contains(lastEvent(clientDialect)));
+        String wholeHalf = send("wholehalf-1");
         assertTrue(wholeHalf, wholeHalf.startsWith("HTTP/1.1 502") && !wholeHalf.contains("choices"));
-        String cut = ask("cut-1");
+        String cut = send("cut-1");
         // The framing's end is not the answer's: without its last event it is no answer.
-        assertFalse(cut, cut.contains("\r\n0\r\n") || cut.contains(last(client)));
+        assertFalse(cut, cut.contains("\r\n0\r\n") || cut.contains(lastEvent(clientDialect)));
         assertTrue(cut, cut.contains("the answer broke off (cut-short-midway)"));
 
-        try (Socket socket = rig.connect(1)) {
+        try (Socket socket = harness.connect(1)) {
             write(socket, request("gone-1"));
             String line = "";
             while (!line.contains("Hel")) {
-                line = StandIn.line(socket.getInputStream());
+                line = FakeHttpServer.readLine(socket.getInputStream());
             }
         }
-        until("no forward is left out", () -> out.get() == 0 && rig.node.open() == 0);
+        waitUntil("no forward is left out", () -> openAttempts.get() == 0 && harness.server.openRequests() == 0);
 
-        assertEquals(Map.of("served", 3, "refused", 1, "failed", 3, "broken", 3, "gone", 1, "rejected", 1), ends(12));
-        assertEquals(12, standIn.requests.size());
+        assertEquals(
+                Map.of("served", 3, "refused", 1, "failed", 3, "broken", 3, "gone", 1, "rejected", 1),
+                receiveOutcomes(12));
+        assertEquals(12, fakeBackend.requests.size());
         assertTrue(
-                log.get(0),
-                log.get(0).startsWith("<134>1 ")
-                        && log.get(0).contains(" [flow@32473 id=\"served-1\" team=\"t\"")
-                        && log.get(0).contains("tokens=\"7\""));
-        assertTrue(log.get(1), log.get(1).contains("skipped=\"2\""));
+                syslogRecords.get(0),
+                syslogRecords.get(0).startsWith("<134>1 ")
+                        && syslogRecords.get(0).contains(" [flow@32473 id=\"served-1\" team=\"t\"")
+                        && syslogRecords.get(0).contains("tokens=\"7\""));
+        assertTrue(syslogRecords.get(1), syslogRecords.get(1).contains("skipped=\"2\""));
     }
 
     @Test
-    public void outsideContractOrOverBudgetIsAnsweredBeforeAnyAttempt() throws Exception {
+    public void requestOutsideContractOrBudgetIsRejectedBeforeAnyAttempt() throws Exception {
         String body = request("x");
         String[][] cases = {
             {body.replace(KEY, ""), "401", "authentication_error"},
@@ -274,9 +290,12 @@
             {body.replace("strict", "other"), "403", "class"},
             {body.replace("hi", "\\x"), "400", "JSON"},
             {body.replace("s\":9", "s\":9999"), "400", "budget"},
-            {body.replace("POST " + client.path(), "POST /v1/other"), "404", "not_found_error"},
+            {body.replace("POST " + clientDialect.path(), "POST /v1/other"), "404", "not_found_error"},
             {body.replace("POST", "PUT"), "405", "POST"},
-            {Rigged.post(client.path(), "x".repeat(300_000), KEY + "Connection: close\r\n"), "413", "request_too_large"
+            {
+                ServerHarness.postRequest(clientDialect.path(), "x".repeat(300_000), KEY + "Connection: close\r\n"),
+                "413",
+                "request_too_large"
             },
         };
         for (String[] row : cases) {
@@ -287,17 +306,17 @@
                             "Content-Length: "
                                     + row[0].substring(row[0].indexOf("\r\n\r\n") + 4)
                                             .length());
-            String answer = rig.ask(1, length);
+            String answer = harness.exchange(1, length);
             assertTrue(row[0] + answer, answer.startsWith("HTTP/1.1 " + row[1]) && answer.contains(row[2]));
         }
-        assertEquals(0, standIn.requests.size());
+        assertEquals(0, fakeBackend.requests.size());
         for (int i = 0; i < 12; i++) {
-            ask("served-" + i);
+            send("served-" + i);
         }
-        String over = ask("served-over");
+        String over = send("served-over");
         assertTrue(over, over.startsWith("HTTP/1.1 429") && over.contains("rate_limit_error"));
         assertTrue(over, over.matches("(?s).*Retry-After: [1-5]?[0-9](\\.[0-9]+)?\r\n.*"));
-        assertEquals(12, standIn.requests.size());
-        assertEquals(Map.of("rejected", 10, "served", 12), ends(22));
+        assertEquals(12, fakeBackend.requests.size());
+        assertEquals(Map.of("rejected", 10, "served", 12), receiveOutcomes(22));
     }
 }
--- a/node/src/test/java/fawnlb/client/ConnectionsTest.java
+++ b/node/src/test/java/fawnlb/client/ClientConnectionTrackerTest.java
@@ -4,7 +4,7 @@
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.actor.Timers;
+import fawnlb.eventloop.Timers;
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.protocol.http.HttpOpenListener;
 import java.io.BufferedReader;
@@ -38,40 +38,42 @@
  * A request that has arrived while the I/O thread was busy lies unread on a connection that counts as idle. On the
  * recorded day r9e4702 two to eight of them were lost at a planned end, in four plays of five.
  */
-public class ConnectionsTest {
-    private static final long PATIENCE = 1000;
+public class ClientConnectionTrackerTest {
+    private static final long IDLE_TIMEOUT_NANOS = 1000;
     /** Longer than two times the patience, with some looks at the clock. */
-    private static final long HEAD = 3000;
+    private static final long REQUEST_HEAD_TIMEOUT_NANOS = 3000;
 
     private static final String REQUEST = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
 
-    private final HttpOpenListener reader = new HttpOpenListener(new DefaultByteBufferPool(true, 2048, 9, 0));
+    private final HttpOpenListener requestReader = new HttpOpenListener(new DefaultByteBufferPool(true, 2048, 9, 0));
     private final BlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
     private XnioWorker worker;
-    private Connections connections;
-    private Runnable retire;
-    private long now;
+    private ClientConnectionTracker tracker;
+    private Runnable timeoutCheck;
+    private long nowNanos;
     private AcceptingChannel<StreamConnection> server;
 
-    private final class ByHand implements Timers {
+    private final class ManualTimers implements Timers {
         @Override
         public long now() {
-            return ++now;
+            return ++nowNanos;
         }
 
         @Override
-        public Timer after(long nanos, Runnable task) {
-            retire = task;
+        public Timer schedule(long nanos, Runnable task) {
+            timeoutCheck = task;
             return () -> {};
         }
     }
 
     @Before
-    public void listen() throws IOException {
+    public void startServer() throws IOException {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        connections = new Connections(new Connections.Limits(1, PATIENCE, HEAD), new ByHand());
-        reader.setRootHandler(exchange -> {
-            connections.serving(exchange);
+        tracker = new ClientConnectionTracker(
+                new ClientConnectionTracker.Limits(1, IDLE_TIMEOUT_NANOS, REQUEST_HEAD_TIMEOUT_NANOS),
+                new ManualTimers());
+        requestReader.setRootHandler(exchange -> {
+            tracker.onRequestStarted(exchange);
             exchange.getResponseSender().send("served\n");
         });
         server = worker.createStreamConnectionServer(
@@ -82,7 +84,7 @@
     }
 
     @After
-    public void end() {
+    public void stopWorker() {
         worker.shutdownNow();
     }
 
@@ -93,8 +95,8 @@
         return socket;
     }
 
-    private static void ask(Socket socket) throws IOException {
-        write(socket, REQUEST);
+    private static void sendRequest(Socket client) throws IOException {
+        write(client, REQUEST);
     }
 
     private static void write(Socket socket, String text) throws IOException {
@@ -112,73 +114,74 @@
     }
 
     private void onIoThread(Runnable task) throws Exception {
-        FutureTask<?> turn = new FutureTask<>(task, null);
-        worker.getIoThread().execute(turn);
-        turn.get(10, TimeUnit.SECONDS);
+        FutureTask<?> call = new FutureTask<>(task, null);
+        worker.getIoThread().execute(call);
+        call.get(10, TimeUnit.SECONDS);
     }
 
     /** A client that was served once; its next request is written while the I/O thread waits, which then does this. */
-    private void whileOneHasAsked(Socket kept, StreamConnection first, Runnable next) throws Exception {
-        onIoThread(() -> connections.accept(first, 0, reader));
-        ask(kept);
-        assertServed(kept);
-        whileWritten(kept, REQUEST, next);
-        assertServed(kept);
+    private void runWhileNextRequestIsUnread(Socket socket, StreamConnection first, Runnable task) throws Exception {
+        onIoThread(() -> tracker.accept(first, 0, requestReader));
+        sendRequest(socket);
+        assertServed(socket);
+        runWhileBytesAreUnread(socket, REQUEST, task);
+        assertServed(socket);
     }
 
     /** The text is written while the I/O thread waits, which then does this. */
-    private void whileWritten(Socket kept, String text, Runnable next) throws Exception {
+    private void runWhileBytesAreUnread(Socket socket, String text, Runnable task) throws Exception {
         CountDownLatch waits = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
         FutureTask<?> busy = new FutureTask<>(() -> {
             waits.countDown();
             written.await();
-            next.run();
+            task.run();
             return null;
         });
         worker.getIoThread().execute(busy);
         assertTrue(waits.await(10, TimeUnit.SECONDS));
-        write(kept, text);
+        write(socket, text);
         written.countDown();
         busy.get(10, TimeUnit.SECONDS);
     }
 
     @Test
-    public void anIdleConnectionIsNotClosedUponARequestThatWasNotReadYet() throws Exception {
-        try (Socket kept = connect()) {
-            whileOneHasAsked(kept, accepted.poll(10, TimeUnit.SECONDS), connections::closeIdle);
-            onIoThread(() -> assertEquals(0, connections.closeIdle()));
+    public void idleConnectionWithUnreadRequestIsServedBeforeClose() throws Exception {
+        try (Socket socket = connect()) {
+            runWhileNextRequestIsUnread(socket, accepted.poll(10, TimeUnit.SECONDS), tracker::closeIdleConnections);
+            onIoThread(() -> assertEquals(0, tracker.closeIdleConnections()));
             assertEquals(
-                    "closed when it is idle indeed", -1, kept.getInputStream().read());
+                    "closed when it is idle indeed", -1, socket.getInputStream().read());
         }
     }
 
     @Test
-    public void aNewConnectionTakesNoRoomFromOneThatHasAsked() throws Exception {
-        try (Socket kept = connect()) {
+    public void newConnectionDoesNotEvictConnectionWithUnreadRequest() throws Exception {
+        try (Socket socket = connect()) {
             StreamConnection first = accepted.poll(10, TimeUnit.SECONDS);
             try (Socket late = connect()) {
                 StreamConnection second = accepted.poll(10, TimeUnit.SECONDS);
-                whileOneHasAsked(kept, first, () -> connections.accept(second, 0, reader));
-                ask(late);
+                runWhileNextRequestIsUnread(socket, first, () -> tracker.accept(second, 0, requestReader));
+                sendRequest(late);
                 assertServed(late);
             }
         }
     }
 
     @Test
-    public void oneThatWasIdleForTooLongIsReadBeforeItCloses() throws Exception {
-        try (Socket kept = connect()) {
-            whileOneHasAsked(kept, accepted.poll(10, TimeUnit.SECONDS), () -> {
-                now += PATIENCE;
-                retire.run();
+    public void expiredIdleConnectionIsReadBeforeClose() throws Exception {
+        try (Socket socket = connect()) {
+            runWhileNextRequestIsUnread(socket, accepted.poll(10, TimeUnit.SECONDS), () -> {
+                nowNanos += IDLE_TIMEOUT_NANOS;
+                timeoutCheck.run();
             });
-            onIoThread(retire);
-            ask(kept);
-            assertServed(kept);
-            onIoThread(() -> now += PATIENCE);
-            onIoThread(retire);
-            assertEquals("closed when its time is up", -1, kept.getInputStream().read());
+            onIoThread(timeoutCheck);
+            sendRequest(socket);
+            assertServed(socket);
+            onIoThread(() -> nowNanos += IDLE_TIMEOUT_NANOS);
+            onIoThread(timeoutCheck);
+            assertEquals(
+                    "closed when its time is up", -1, socket.getInputStream().read());
         }
     }
 
@@ -187,14 +190,16 @@
      * second.
      */
     @Test
-    public void requestsSentAheadHoldUpNobodyElse() throws Exception {
+    public void pipelinedRequestsDoNotDelayOtherConnections() throws Exception {
         int ahead = 30;
-        connections = new Connections(new Connections.Limits(9, PATIENCE, HEAD), new ByHand());
+        tracker = new ClientConnectionTracker(
+                new ClientConnectionTracker.Limits(9, IDLE_TIMEOUT_NANOS, REQUEST_HEAD_TIMEOUT_NANOS),
+                new ManualTimers());
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
         List<String> served = new CopyOnWriteArrayList<>();
-        reader.setRootHandler(exchange -> {
-            connections.serving(exchange);
+        requestReader.setRootHandler(exchange -> {
+            tracker.onRequestStarted(exchange);
             if (served.isEmpty()) {
                 begun.countDown();
                 written.await();
@@ -206,14 +211,14 @@
                 Socket other = connect()) {
             for (int i = 0; i < 2; i++) {
                 StreamConnection next = accepted.poll(10, TimeUnit.SECONDS);
-                onIoThread(() -> connections.accept(next, 0, reader));
+                onIoThread(() -> tracker.accept(next, 0, requestReader));
             }
             flood.getOutputStream()
                     .write("GET /ahead HTTP/1.1\r\nHost: x\r\n\r\n"
                             .repeat(ahead)
                             .getBytes(StandardCharsets.ISO_8859_1));
             assertTrue(begun.await(10, TimeUnit.SECONDS));
-            ask(other);
+            sendRequest(other);
             written.countDown();
             assertServed(other);
             for (int i = 0; i < ahead; i++) {
@@ -226,45 +231,45 @@
     /**
      * Half a request comes, then the task runs on the I/O thread, then the rest: the request is served all the same.
      */
-    private void servesRequestWhoseHeadHasBegun(Runnable task) throws Exception {
+    private void assertServedAfterTaskDuringHead(Runnable task) throws Exception {
         int half = REQUEST.length() / 2;
-        try (Socket kept = connect()) {
+        try (Socket socket = connect()) {
             StreamConnection accepting = accepted.poll(10, TimeUnit.SECONDS);
-            onIoThread(() -> connections.accept(accepting, 0, reader));
-            ask(kept);
-            assertServed(kept);
-            whileWritten(kept, REQUEST.substring(0, half), task);
-            write(kept, REQUEST.substring(half));
-            assertServed(kept);
+            onIoThread(() -> tracker.accept(accepting, 0, requestReader));
+            sendRequest(socket);
+            assertServed(socket);
+            runWhileBytesAreUnread(socket, REQUEST.substring(0, half), task);
+            write(socket, REQUEST.substring(half));
+            assertServed(socket);
         }
     }
 
     @Test
-    public void plannedEndWaitsForRequestWhoseHeadHasBegun() throws Exception {
-        servesRequestWhoseHeadHasBegun(() -> assertEquals("one reads a head", 1, connections.closeIdle()));
+    public void gracefulShutdownWaitsForPartialRequestHead() throws Exception {
+        assertServedAfterTaskDuringHead(() -> assertEquals("one reads a head", 1, tracker.closeIdleConnections()));
     }
 
     @Test
-    public void idleLimitDoesNotCloseConnectionOnWhichHeadHasBegun() throws Exception {
-        servesRequestWhoseHeadHasBegun(() -> {
-            now += PATIENCE;
-            retire.run();
-            now += PATIENCE;
-            retire.run();
+    public void idleTimeoutIgnoresConnectionWithPartialRequestHead() throws Exception {
+        assertServedAfterTaskDuringHead(() -> {
+            nowNanos += IDLE_TIMEOUT_NANOS;
+            timeoutCheck.run();
+            nowNanos += IDLE_TIMEOUT_NANOS;
+            timeoutCheck.run();
         });
     }
 
     /** Undertow's limits on idling, reading and writing count by the wall clock. */
     @Test
-    public void noLimitOfUndertowsStandsOnAConnection() throws Exception {
+    public void acceptedConnectionHasNoUndertowTimeoutConduits() throws Exception {
         try (Socket client = connect()) {
             StreamConnection connection = accepted.poll(10, TimeUnit.SECONDS);
-            onIoThread(() -> connections.accept(connection, 0, reader));
-            ask(client);
+            onIoThread(() -> tracker.accept(connection, 0, requestReader));
+            sendRequest(client);
             assertServed(client);
             List<Object> conduits =
-                    new ArrayList<>(chain(connection.getSourceChannel().getConduit()));
-            conduits.addAll(chain(connection.getSinkChannel().getConduit()));
+                    new ArrayList<>(conduitChain(connection.getSourceChannel().getConduit()));
+            conduits.addAll(conduitChain(connection.getSinkChannel().getConduit()));
             assertEquals(
                     List.of(),
                     conduits.stream()
@@ -276,13 +281,13 @@
         }
     }
 
-    private static List<Object> chain(Object first) throws ReflectiveOperationException {
+    private static List<Object> conduitChain(Object first) throws ReflectiveOperationException {
         List<Object> chain = new ArrayList<>(List.of(first));
         for (Class<?> type = first.getClass(); type != null; type = type.getSuperclass()) {
             for (Field field : type.getDeclaredFields()) {
                 if (field.getName().equals("next")) {
                     field.setAccessible(true);
-                    chain.addAll(chain(field.get(first)));
+                    chain.addAll(conduitChain(field.get(first)));
                     return chain;
                 }
             }
@@ -291,17 +296,17 @@
     }
 
     @Test
-    public void halfHeadIsClosedUponAtItsLimit() throws Exception {
+    public void partialRequestHeadIsClosedAtHeadTimeout() throws Exception {
         try (Socket client = connect()) {
             StreamConnection connection = accepted.poll(10, TimeUnit.SECONDS);
-            onIoThread(() -> connections.accept(connection, 0, reader));
-            whileWritten(client, "GET / HT", () -> {
-                retire.run();
+            onIoThread(() -> tracker.accept(connection, 0, requestReader));
+            runWhileBytesAreUnread(client, "GET / HT", () -> {
+                timeoutCheck.run();
                 assertTrue(connection.isOpen());
             });
             onIoThread(() -> {
-                now += HEAD;
-                retire.run();
+                nowNanos += REQUEST_HEAD_TIMEOUT_NANOS;
+                timeoutCheck.run();
                 assertFalse(connection.isOpen());
             });
         }
@@ -312,17 +317,17 @@
      * head begins.
      */
     @Test
-    public void halfHeadBehindARequestIsClosedUponAtItsLimit() throws Exception {
+    public void partialPipelinedHeadIsClosedAtHeadTimeout() throws Exception {
         try (Socket client = connect()) {
             StreamConnection connection = accepted.poll(10, TimeUnit.SECONDS);
-            onIoThread(() -> connections.accept(connection, 0, reader));
+            onIoThread(() -> tracker.accept(connection, 0, requestReader));
             write(client, REQUEST + "GET / HT");
             assertServed(client);
             // The rest is looked at a few turns after the answer was written.
             for (int turn = 0; turn < 100 && connection.isOpen(); turn++) {
                 onIoThread(() -> {
-                    now += HEAD + PATIENCE;
-                    retire.run();
+                    nowNanos += REQUEST_HEAD_TIMEOUT_NANOS + IDLE_TIMEOUT_NANOS;
+                    timeoutCheck.run();
                 });
             }
             assertFalse(connection.isOpen());
@@ -330,18 +335,20 @@
     }
 
     @Test
-    public void idleConnectionMakesRoomBeforeOneOnWhichHeadHasBegun() throws Exception {
-        connections = new Connections(new Connections.Limits(2, PATIENCE, HEAD), new ByHand());
+    public void idleConnectionIsEvictedBeforePartialRequestHead() throws Exception {
+        tracker = new ClientConnectionTracker(
+                new ClientConnectionTracker.Limits(2, IDLE_TIMEOUT_NANOS, REQUEST_HEAD_TIMEOUT_NANOS),
+                new ManualTimers());
         try (Socket idle = connect();
                 Socket late = connect()) {
             StreamConnection first = accepted.poll(10, TimeUnit.SECONDS);
             StreamConnection second = accepted.poll(10, TimeUnit.SECONDS);
-            servesRequestWhoseHeadHasBegun(() -> {
-                connections.accept(first, 0, reader);
-                connections.accept(second, 0, reader);
+            assertServedAfterTaskDuringHead(() -> {
+                tracker.accept(first, 0, requestReader);
+                tracker.accept(second, 0, requestReader);
             });
             assertEquals("idle, and closed", -1, idle.getInputStream().read());
-            ask(late);
+            sendRequest(late);
             assertServed(late);
         }
     }
@@ -350,20 +357,20 @@
      * Undertow would close over the unread rest of the body, which resets the connection and takes the answer with it.
      */
     @Test
-    public void connectionStaysOpenForRestOfRequestThatWasRejected() throws Exception {
-        reader.setRootHandler(exchange -> {
-            connections.serving(exchange);
-            ClientExchange.write(exchange, new Replies.Reply(413, "text/plain", "too large\n"), 0);
+    public void connectionLingersForRestOfRejectedRequest() throws Exception {
+        requestReader.setRootHandler(exchange -> {
+            tracker.onRequestStarted(exchange);
+            ClientExchange.write(exchange, new ResponseFormatter.FixedResponse(413, "text/plain", "too large\n"), 0);
         });
         try (Socket client = connect()) {
             StreamConnection connection = accepted.poll(10, TimeUnit.SECONDS);
-            onIoThread(() -> connections.accept(connection, 0, reader));
+            onIoThread(() -> tracker.accept(connection, 0, requestReader));
             write(client, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 300000\r\n\r\nbegun");
             assertTrue(new BufferedReader(new InputStreamReader(client.getInputStream()))
                     .lines()
                     .anyMatch("too large"::equals));
             for (int piece = 0; piece < 2; piece++) {
-                whileWritten(
+                runWhileBytesAreUnread(
                         client,
                         "more",
                         () -> ChannelListeners.invokeChannelListener(
@@ -375,22 +382,22 @@
     }
 
     @Test
-    public void connectionWhoseClientNeverClosesItIsClosedAfterItsLastAnswer() throws Exception {
-        reader.setRootHandler(exchange -> {
-            connections.serving(exchange);
+    public void nonPersistentConnectionIsClosedAfterTimeoutWhenClientDoesNotClose() throws Exception {
+        requestReader.setRootHandler(exchange -> {
+            tracker.onRequestStarted(exchange);
             exchange.setPersistent(false);
             exchange.getResponseSender().send("served\n");
         });
         try (Socket client = connect()) {
             StreamConnection connection = accepted.poll(10, TimeUnit.SECONDS);
-            onIoThread(() -> connections.accept(connection, 0, reader));
-            ask(client);
+            onIoThread(() -> tracker.accept(connection, 0, requestReader));
+            sendRequest(client);
             assertServed(client);
             onIoThread(() -> {
-                retire.run();
+                timeoutCheck.run();
                 assertTrue("its answer is on its way", connection.isOpen());
-                now += PATIENCE;
-                retire.run();
+                nowNanos += IDLE_TIMEOUT_NANOS;
+                timeoutCheck.run();
                 assertFalse(connection.isOpen());
             });
         }
--- a/node/src/test/java/fawnlb/client/ClientExchangeTest.java
+++ b/node/src/test/java/fawnlb/client/ClientExchangeTest.java
@@ -3,9 +3,9 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.actor.Mailbox;
-import fawnlb.flow.Source;
-import fawnlb.stream.Ending;
+import fawnlb.eventloop.Mailbox;
+import fawnlb.proxy.ResponseSource;
+import fawnlb.stream.AttemptEnd;
 import io.undertow.Undertow;
 import io.undertow.util.SameThreadExecutor;
 import java.io.InputStream;
@@ -21,20 +21,20 @@
 import org.junit.Test;
 
 public class ClientExchangeTest {
-    private static final class Words implements Replies {
+    private static final class TextResponseFormatter implements ResponseFormatter {
         @Override
-        public String servedType() {
+        public String backendContentType() {
             return "text/plain";
         }
 
         @Override
-        public Reply refused(Ending cause) {
-            return new Reply(503, "text/plain", "no\n");
+        public FixedResponse formatRejection(AttemptEnd cause) {
+            return new FixedResponse(503, "text/plain", "no\n");
         }
 
         @Override
-        public Reply failed(Ending cause) {
-            return refused(cause);
+        public FixedResponse formatFailure(AttemptEnd cause) {
+            return formatRejection(cause);
         }
     }
 
@@ -43,33 +43,33 @@
      * at what they have closed since. Here it never comes to look, and has to be asked.
      */
     @Test
-    public void aClientThatHasLeftIsNotPresentThoughNobodyHasReadThatItLeft() throws Exception {
-        for (String ahead : new String[] {"", "GET /next HTTP/1.1\r\nHost: x\r\n\r\n"}) {
-            CountDownLatch asked = new CountDownLatch(1);
-            CountDownLatch left = new CountDownLatch(1);
-            CompletableFuture<String> said = new CompletableFuture<>();
-            AtomicInteger gone = new AtomicInteger();
+    public void disconnectedClientIsNotPresentBeforeItsCloseIsRead() throws Exception {
+        for (String pipelined : new String[] {"", "GET /next HTTP/1.1\r\nHost: x\r\n\r\n"}) {
+            CountDownLatch presenceChecked = new CountDownLatch(1);
+            CountDownLatch disconnected = new CountDownLatch(1);
+            CompletableFuture<String> presence = new CompletableFuture<>();
+            AtomicInteger disconnects = new AtomicInteger();
             Undertow server = Undertow.builder()
                     .setIoThreads(1)
                     .addHttpListener(0, "127.0.0.1")
                     .setHandler(exchange -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                        ClientExchange client =
-                                new ClientExchange(exchange, new Mailbox(exchange.getIoThread(), 9), new Words());
-                        client.serve(gone::incrementAndGet);
-                        String before = "present " + client.present();
-                        asked.countDown();
+                        ClientExchange client = new ClientExchange(
+                                exchange, new Mailbox(exchange.getIoThread(), 9), new TextResponseFormatter());
+                        client.attach(disconnects::incrementAndGet);
+                        String before = "present " + client.isConnected();
+                        presenceChecked.countDown();
                         try {
-                            left.await();
+                            disconnected.await();
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
                         // The close is on its way through the kernel; this thread looks at no socket meanwhile.
                         long end = System.nanoTime() + 10_000_000_000L;
-                        boolean present = client.present();
+                        boolean present = client.isConnected();
                         while (present && System.nanoTime() < end) {
-                            present = client.present();
+                            present = client.isConnected();
                         }
-                        said.complete(before + ", then " + present + ", told " + gone);
+                        presence.complete(before + ", then " + present + ", told " + disconnects);
                     }))
                     .build();
             server.start();
@@ -77,11 +77,11 @@
                     (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
             try {
                 Socket socket = new Socket(address.getAddress(), address.getPort());
-                socket.getOutputStream().write(("GET / HTTP/1.1\r\nHost: x\r\n\r\n" + ahead).getBytes());
-                asked.await();
+                socket.getOutputStream().write(("GET / HTTP/1.1\r\nHost: x\r\n\r\n" + pipelined).getBytes());
+                presenceChecked.await();
                 socket.close();
-                left.countDown();
-                assertEquals("present true, then false, told 1", said.get(20, TimeUnit.SECONDS));
+                disconnected.countDown();
+                assertEquals("present true, then false, told 1", presence.get(20, TimeUnit.SECONDS));
             } finally {
                 server.stop();
             }
@@ -90,17 +90,17 @@
 
     /** An overloaded day filled a node's heap in 50 s: connections kept every exchange that they had carried. */
     @Test
-    public void aConnectionKeepsNoExchangeThatIsOver() throws Exception {
-        List<WeakReference<ClientExchange>> served = new CopyOnWriteArrayList<>();
+    public void connectionReleasesFinishedExchanges() throws Exception {
+        List<WeakReference<ClientExchange>> exchanges = new CopyOnWriteArrayList<>();
         Undertow server = Undertow.builder()
                 .setIoThreads(1)
                 .addHttpListener(0, "127.0.0.1")
                 .setHandler(exchange -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                    ClientExchange client =
-                            new ClientExchange(exchange, new Mailbox(exchange.getIoThread(), 9), new Words());
-                    served.add(new WeakReference<>(client));
-                    client.serve(() -> {});
-                    client.refused(null, 1);
+                    ClientExchange client = new ClientExchange(
+                            exchange, new Mailbox(exchange.getIoThread(), 9), new TextResponseFormatter());
+                    exchanges.add(new WeakReference<>(client));
+                    client.attach(() -> {});
+                    client.sendRejection(null, 1);
                 }))
                 .build();
         server.start();
@@ -117,61 +117,61 @@
                 }
             }
             long end = System.nanoTime() + 10_000_000_000L;
-            long kept = 20;
-            while (kept > 2 && System.nanoTime() < end) {
+            long reachable = 20;
+            while (reachable > 2 && System.nanoTime() < end) {
                 System.gc();
-                kept = served.stream()
+                reachable = exchanges.stream()
                         .filter(reference -> reference.get() != null)
                         .count();
             }
-            assertTrue("kept " + kept + " of 20", kept <= 2);
+            assertTrue("kept " + reachable + " of 20", reachable <= 2);
         } finally {
             server.stop();
         }
     }
 
     /** Throws at the start of an answer, which no front is expected to do. */
-    private static final class FaultyWords implements Replies {
-        private final Words words = new Words();
+    private static final class ThrowingResponseFormatter implements ResponseFormatter {
+        private final TextResponseFormatter delegate = new TextResponseFormatter();
 
         @Override
-        public String servedType() {
+        public String backendContentType() {
             throw new IllegalStateException("meant to fail");
         }
 
         @Override
-        public Reply refused(Ending cause) {
-            return words.refused(cause);
+        public FixedResponse formatRejection(AttemptEnd cause) {
+            return delegate.formatRejection(cause);
         }
 
         @Override
-        public Reply failed(Ending cause) {
-            return words.failed(cause);
+        public FixedResponse formatFailure(AttemptEnd cause) {
+            return delegate.formatFailure(cause);
         }
     }
 
-    private static final Source NOTHING = new Source() {
+    private static final ResponseSource EMPTY_SOURCE = new ResponseSource() {
         @Override
-        public void into(Sink sink) {}
+        public void streamTo(Sink sink) {}
 
         @Override
-        public void more() {}
+        public void requestNextChunk() {}
 
         @Override
-        public void lags(int left) {}
+        public void onUnsentBytes(int left) {}
 
         @Override
-        public void closed() {}
+        public void onSinkClosed() {}
     };
 
-    private static void assertAnswered(Mailbox mailbox, CountDownLatch called) throws Exception {
+    private static void assertRejectedAndCancelled(Mailbox mailbox, CountDownLatch cancelled) throws Exception {
         Undertow server = Undertow.builder()
                 .setIoThreads(1)
                 .addHttpListener(0, "127.0.0.1")
                 .setHandler(exchange -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                    ClientExchange client = new ClientExchange(exchange, mailbox, new FaultyWords());
-                    client.serve(called::countDown);
-                    client.streaming(NOTHING);
+                    ClientExchange client = new ClientExchange(exchange, mailbox, new ThrowingResponseFormatter());
+                    client.attach(cancelled::countDown);
+                    client.streamResponse(EMPTY_SOURCE);
                 }))
                 .build();
         server.start();
@@ -182,19 +182,19 @@
             socket.getOutputStream().write("GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".getBytes());
             String answer = new String(socket.getInputStream().readAllBytes());
             assertTrue(answer, answer.startsWith("HTTP/1.1 503") && answer.endsWith("no\n"));
-            assertTrue("the attempt is called off", called.await(10, TimeUnit.SECONDS));
+            assertTrue("the attempt is called off", cancelled.await(10, TimeUnit.SECONDS));
         } finally {
             server.stop();
         }
     }
 
     @Test
-    public void clientIsAnsweredWhereStartOfItsAnswerThrows() throws Exception {
-        assertAnswered(new Mailbox(Runnable::run, 9), new CountDownLatch(1));
+    public void clientIsAnsweredWhenResponseStartThrows() throws Exception {
+        assertRejectedAndCancelled(new Mailbox(Runnable::run, 9), new CountDownLatch(1));
     }
 
     @Test
-    public void clientIsAnsweredWhereItsMailboxIsFull() throws Exception {
-        assertAnswered(new Mailbox(Runnable::run, 0), new CountDownLatch(1));
+    public void clientIsAnsweredWhenMailboxIsFull() throws Exception {
+        assertRejectedAndCancelled(new Mailbox(Runnable::run, 0), new CountDownLatch(1));
     }
 }
--- a/node/src/test/java/fawnlb/client/ListenerTest.java
+++ b/node/src/test/java/fawnlb/client/ListenerTest.java
@@ -3,9 +3,9 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.LogLines;
-import fawnlb.actor.IoTimers;
-import fawnlb.actor.Timers;
+import fawnlb.CapturedLog;
+import fawnlb.eventloop.EventLoopTimers;
+import fawnlb.eventloop.Timers;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -32,49 +32,49 @@
 
 public class ListenerTest {
     private static final int CLIENTS = 50;
-    private static final long WAIT_SECONDS = 10;
+    private static final long TIMEOUT_SECONDS = 10;
 
     private final List<Socket> clients = new ArrayList<>();
     private final BlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
-    private final List<Long> waits = new CopyOnWriteArrayList<>();
+    private final List<Long> queueingDelaysNanos = new CopyOnWriteArrayList<>();
     /** Accepts left that fail. */
-    private int failing;
+    private int remainingFailures;
 
-    private int tried;
+    private int acceptCalls;
     private XnioWorker worker;
     private Timers timers;
     private ServerSocketChannel channel;
     private Listener listener;
 
     @Before
-    public void listen() throws Exception {
+    public void bindListener() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        timers = new IoTimers(worker.getIoThread());
+        timers = new EventLoopTimers(worker.getIoThread());
         channel = Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100);
-        listenFor(CLIENTS);
+        createListener(CLIENTS);
     }
 
-    private void listenFor(int maxOpen) {
+    private void createListener(int maxOpen) {
         listener = new Listener(
                 channel,
                 () -> {
-                    tried++;
-                    if (failing > 0) {
-                        failing--;
+                    acceptCalls++;
+                    if (remainingFailures > 0) {
+                        remainingFailures--;
                         throw new IOException("Too many open files in system");
                     }
                     return channel.accept();
                 },
                 new Listener.Limits(maxOpen, 100, 65536),
                 timers,
-                (connection, waited) -> {
-                    waits.add(waited);
+                (connection, queuedNanos) -> {
+                    queueingDelaysNanos.add(queuedNanos);
                     accepted.add(connection);
                 });
     }
 
     @After
-    public void end() throws IOException {
+    public void stopWorker() throws IOException {
         worker.shutdownNow();
         for (Socket client : clients) {
             client.close();
@@ -90,19 +90,19 @@
         }
     }
 
-    private StreamConnection next() throws InterruptedException {
-        StreamConnection connection = accepted.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+    private StreamConnection nextAccepted() throws InterruptedException {
+        StreamConnection connection = accepted.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue("nobody was accepted", connection != null);
         return connection;
     }
 
     private void onIoThread(Runnable task) throws Exception {
-        FutureTask<?> turn = new FutureTask<>(task, null);
-        worker.getIoThread().execute(turn);
-        turn.get(WAIT_SECONDS, TimeUnit.SECONDS);
+        FutureTask<?> call = new FutureTask<>(task, null);
+        worker.getIoThread().execute(call);
+        call.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private static void await(CountDownLatch latch) {
+    private static void awaitUninterrupted(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
@@ -111,44 +111,46 @@
     }
 
     @Test
-    public void failedAcceptsAreTriedAgainAtASteadyPaceAndLoggedOnce() throws Exception {
-        List<Long> pauses = new CopyOnWriteArrayList<>();
-        Timers real = timers;
+    public void failedAcceptsRetryAtFixedDelayAndLogOnce() throws Exception {
+        List<Long> delaysNanos = new CopyOnWriteArrayList<>();
+        Timers delegate = timers;
         timers = new Timers() {
             @Override
             public long now() {
-                return real.now();
+                return delegate.now();
             }
 
             @Override
-            public Timer after(long nanos, Runnable task) {
-                pauses.add(nanos);
-                return real.after(0, task);
+            public Timer schedule(long nanos, Runnable task) {
+                delaysNanos.add(nanos);
+                return delegate.schedule(0, task);
             }
         };
-        listenFor(CLIENTS);
-        failing = 40;
-        try (LogLines log = new LogLines(Listener.class.getName())) {
+        createListener(CLIENTS);
+        remainingFailures = 40;
+        try (CapturedLog log = new CapturedLog(Listener.class.getName())) {
             connect(1);
             listener.start(worker.getIoThread());
-            next();
-            assertEquals(40, pauses.size());
-            assertTrue(pauses.toString(), pauses.stream().allMatch(pause -> pause == Listener.PAUSE));
+            nextAccepted();
+            assertEquals(40, delaysNanos.size());
+            assertTrue(
+                    delaysNanos.toString(),
+                    delaysNanos.stream().allMatch(pause -> pause == Listener.ACCEPT_RETRY_DELAY_NANOS));
             assertEquals(log.lines().toString(), 1, log.lines().size());
         }
     }
 
     /** On eight nodes under 125 new connections a second each, 39 were reset at a planned end. */
     @Test
-    public void closingAcceptsWhoeverHasConnectedAndResetsNobody() throws Exception {
+    public void gracefulCloseAcceptsQueuedConnections() throws Exception {
         listener.start(worker.getIoThread());
         CountDownLatch busy = new CountDownLatch(1);
-        worker.getIoThread().execute(() -> await(busy));
-        Listeners listeners = new Listeners();
+        worker.getIoThread().execute(() -> awaitUninterrupted(busy));
+        ListenerGroup listeners = new ListenerGroup();
         listeners.add(listener);
         Thread ending = new Thread(() -> {
             try {
-                listeners.close(worker.getIoThread());
+                listeners.closeGracefully(worker.getIoThread());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -156,27 +158,27 @@
         ending.start();
         connect(CLIENTS);
         busy.countDown();
-        ending.join(WAIT_SECONDS * 1000);
+        ending.join(TIMEOUT_SECONDS * 1000);
         assertEquals(CLIENTS, accepted.size());
         assertTrue(accepted.stream().allMatch(StreamConnection::isOpen));
     }
 
     @Test
-    public void closingWaitsForAcceptsThatFailForAMoment() throws Exception {
+    public void gracefulCloseRetriesFailedAccepts() throws Exception {
         listener.start(worker.getIoThread());
         CountDownLatch closed = new CountDownLatch(1);
-        onIoThread(() -> failing = 3);
-        onIoThread(() -> listener.closeWhenNobodyWaits(closed::countDown));
+        onIoThread(() -> remainingFailures = 3);
+        onIoThread(() -> listener.closeGracefully(closed::countDown));
         connect(1);
-        assertTrue(closed.await(WAIT_SECONDS, TimeUnit.SECONDS));
+        assertTrue(closed.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(1, accepted.size());
-        assertTrue(tried >= 4);
+        assertTrue(acceptCalls >= 4);
     }
 
     @Test
-    public void whoConnectedWhileAcceptsFailedCountsAsWaitingSinceTheFirstOfThem() throws Exception {
+    public void queueingDelayCountsFromFirstFailedAccept() throws Exception {
         AtomicLong now = new AtomicLong(1000);
-        Timers real = timers;
+        Timers delegate = timers;
         timers = new Timers() {
             @Override
             public long now() {
@@ -184,27 +186,27 @@
             }
 
             @Override
-            public Timer after(long nanos, Runnable task) {
+            public Timer schedule(long nanos, Runnable task) {
                 now.addAndGet(nanos);
-                return real.after(0, task);
+                return delegate.schedule(0, task);
             }
         };
-        listenFor(CLIENTS);
-        failing = 7;
+        createListener(CLIENTS);
+        remainingFailures = 7;
         connect(1);
         listener.start(worker.getIoThread());
-        next();
+        nextAccepted();
         onIoThread(() -> {});
         connect(1);
-        next();
-        assertEquals(List.of(7 * Listener.PAUSE, 0L), waits);
+        nextAccepted();
+        assertEquals(List.of(7 * Listener.ACCEPT_RETRY_DELAY_NANOS, 0L), queueingDelaysNanos);
     }
 
     @Test
-    public void clientsAreAcceptedAfterOneThatCouldNotBeTaken() throws Exception {
+    public void acceptsContinueAfterConnectionHandlerThrows() throws Exception {
         int[] failures = {1};
-        listener =
-                new Listener(channel, null, new Listener.Limits(CLIENTS, 100, 65536), timers, (connection, waited) -> {
+        listener = new Listener(
+                channel, null, new Listener.Limits(CLIENTS, 100, 65536), timers, (connection, queuedNanos) -> {
                     if (failures[0]-- > 0) {
                         throw new IllegalStateException("meant to fail");
                     }
@@ -213,18 +215,18 @@
         listener.start(worker.getIoThread());
         connect(1);
         connect(1);
-        next();
+        nextAccepted();
     }
 
     @Test
-    public void beyondTheLimitNextIsAcceptedWhenOneHasClosed() throws Exception {
-        listenFor(2);
+    public void connectionOverLimitIsAcceptedAfterAnotherCloses() throws Exception {
+        createListener(2);
         listener.start(worker.getIoThread());
         connect(3);
-        StreamConnection first = next();
-        next();
+        StreamConnection first = nextAccepted();
+        nextAccepted();
         onIoThread(() -> assertTrue("the third waits", accepted.isEmpty()));
         onIoThread(() -> IoUtils.safeClose(first));
-        next();
+        nextAccepted();
     }
 }
--- a/node/src/test/java/fawnlb/contract/BudgetTest.java
+++ b/node/src/test/java/fawnlb/contract/BudgetTest.java
@@ -10,36 +10,36 @@
 
 public class BudgetTest {
     @Test
-    public void requestsAndTokensAreHeldUntilTheWindowEnds() {
+    public void requestsAndTokensAreLimitedPerWindow() {
         Budget budget = new Budget(3, 100, 60);
         long[][] cases = {{0, 50, 0}, {10, 60, 50}, {10, 50, 0}, {20, 0, 0}, {59, 0, 1}, {60, 100, 0}, {61, 1, 59}};
         for (long[] row : cases) {
-            assertEquals("at " + row[0], row[2], budget.book(row[0], row[1]));
+            assertEquals("at " + row[0], row[2], budget.reserve(row[0], row[1]));
         }
-        assertTrue(budget.holds(100));
-        assertFalse(budget.holds(101));
+        assertTrue(budget.fitsWindow(100));
+        assertFalse(budget.fitsWindow(101));
     }
 
     @Test
-    public void whatWasNotTakenIsGivenBackInItsOwnWindowOnly() {
+    public void unusedTokensAreReturnedWithinTheirWindow() {
         Budget budget = new Budget(9, 100, 60);
-        assertEquals(0, budget.book(0, 100));
+        assertEquals(0, budget.reserve(0, 100));
         budget.settle(0, 100, 30);
-        assertEquals(0, budget.book(1, 70));
-        assertEquals(0, budget.book(60, 100));
+        assertEquals(0, budget.reserve(1, 70));
+        assertEquals(0, budget.reserve(60, 100));
         budget.settle(1, 70, 0);
-        assertEquals(59, budget.book(61, 1));
+        assertEquals(59, budget.reserve(61, 1));
     }
 
     @Test
-    public void contractsAreFoundByKeyAndSayWhatIsOutside() {
+    public void contractIsFoundByKeyAndNamesTheViolation() {
         Contract contract = new Contract("t", "secret", "", List.of("a"), List.of("m"), 1, new Budget(1, 1, 1));
         Contracts contracts = new Contracts(List.of(contract));
-        assertEquals(contract, contracts.find("secret"));
-        assertNull(contracts.find("secreT"));
-        assertNull(contracts.find(null));
-        assertNull(contract.objection("a", "m"));
-        assertTrue(contract.objection("b", "m").contains("class 'b'"));
-        assertTrue(contract.objection("a", "n").contains("model 'n'"));
+        assertEquals(contract, contracts.findByKey("secret"));
+        assertNull(contracts.findByKey("secreT"));
+        assertNull(contracts.findByKey(null));
+        assertNull(contract.violation("a", "m"));
+        assertTrue(contract.violation("b", "m").contains("class 'b'"));
+        assertTrue(contract.violation("a", "n").contains("model 'n'"));
     }
 }
--- a/node/src/test/java/fawnlb/discovery/ListReaderTest.java
+++ b/node/src/test/java/fawnlb/discovery/WatchEventReaderTest.java
@@ -12,22 +12,22 @@
 import java.util.List;
 import org.junit.Test;
 
-public class ListReaderTest {
-    private static final int MAX = 60;
+public class WatchEventReaderTest {
+    private static final int MAX_OBJECT_BYTES = 60;
 
     /** What is found where the text comes in pieces of this size. */
-    private static List<String> read(String text, int piece) throws IOException {
-        byte[] in = text.getBytes(StandardCharsets.UTF_8);
-        ListReader reader = new ListReader(MAX);
-        List<String> found = new ArrayList<>();
-        for (int at = 0; at < in.length; at += piece) {
-            found.addAll(reader.feed(ByteBuffer.wrap(in, at, Math.min(piece, in.length - at))));
+    private static List<String> read(String text, int chunkBytes) throws IOException {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        WatchEventReader reader = new WatchEventReader(MAX_OBJECT_BYTES);
+        List<String> events = new ArrayList<>();
+        for (int offset = 0; offset < bytes.length; offset += chunkBytes) {
+            events.addAll(reader.read(ByteBuffer.wrap(bytes, offset, Math.min(chunkBytes, bytes.length - offset))));
         }
-        return found;
+        return events;
     }
 
     @Test
-    public void objectsAndHeartbeatsAreFoundInPiecesOfAnySize() throws IOException {
+    public void readsObjectsAndHeartbeatsFromChunksOfAnySize() throws IOException {
         String[][] cases = {
             {"{\"a\":1}\n\n{\"b\":[{}]}\n", "{\"a\":1}", "", "{\"b\":[{}]}"},
             {"\n \r\n{}\r\n", "", "", "{}"},
@@ -45,19 +45,20 @@
     }
 
     @Test
-    public void whatIsNoObjectOrBreaksOffIsAnError() {
+    public void rejectsMalformedTruncatedAndOversizedObjects() {
         for (String bad :
-                new String[] {"[]\n", "x", "{\"a\n", "{\"a\":1,\n\n", "{\"a\":\"" + "x".repeat(MAX) + "\"}"}) {
+                new String[] {"[]\n", "x", "{\"a\n", "{\"a\":1,\n\n", "{\"a\":\"" + "x".repeat(MAX_OBJECT_BYTES) + "\"}"
+                }) {
             assertThrows(bad, IOException.class, () -> read(bad, 3));
         }
     }
 
     @Test
-    public void objectThatHasNotEndedIsKnown() throws IOException {
-        ListReader reader = new ListReader(MAX);
-        reader.feed(ByteBuffer.wrap("{\"a\":[".getBytes(StandardCharsets.UTF_8)));
+    public void reportsWhetherAnObjectIsIncomplete() throws IOException {
+        WatchEventReader reader = new WatchEventReader(MAX_OBJECT_BYTES);
+        reader.read(ByteBuffer.wrap("{\"a\":[".getBytes(StandardCharsets.UTF_8)));
         assertTrue(reader.isWithinObject());
-        reader.feed(ByteBuffer.wrap("]}".getBytes(StandardCharsets.UTF_8)));
+        reader.read(ByteBuffer.wrap("]}".getBytes(StandardCharsets.UTF_8)));
         assertFalse(reader.isWithinObject());
     }
 }
--- a/node/src/test/java/fawnlb/actor/MailboxTest.java
+++ b/node/src/test/java/fawnlb/eventloop/MailboxTest.java
@@ -1,4 +1,4 @@
-package fawnlb.actor;
+package fawnlb.eventloop;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -12,7 +12,7 @@
 
 public class MailboxTest {
     private final Deque<Runnable> executor = new ArrayDeque<>();
-    private final List<Integer> ran = new ArrayList<>();
+    private final List<Integer> processed = new ArrayList<>();
 
     private void runAll() {
         while (!executor.isEmpty()) {
@@ -21,12 +21,12 @@
     }
 
     @Test
-    public void messagesRunInOrderAndAFaultEndsOnlyItself() {
+    public void messagesRunInOrderAndOneFailureDoesNotStopTheOthers() {
         Mailbox mailbox = new Mailbox(executor::add, 500);
         for (int i = 0; i < 200; i++) {
             int number = i;
             mailbox.tell(() -> {
-                ran.add(number);
+                processed.add(number);
                 if (number == 3) {
                     throw new IllegalStateException("meant to fail");
                 }
@@ -34,30 +34,30 @@
         }
         assertEquals("one turn at a time", 1, executor.size());
         runAll();
-        assertEquals(200, ran.size());
-        assertEquals(ran.stream().sorted().toList(), ran);
+        assertEquals(200, processed.size());
+        assertEquals(processed.stream().sorted().toList(), processed);
     }
 
     @Test
-    public void aFullMailboxTakesNoMore() {
+    public void fullMailboxRejectsMessages() {
         Mailbox mailbox = new Mailbox(executor::add, 2);
-        assertTrue(mailbox.tell(() -> ran.add(1)) && mailbox.tell(() -> ran.add(2)));
-        assertFalse(mailbox.tell(() -> ran.add(3)));
+        assertTrue(mailbox.tell(() -> processed.add(1)) && mailbox.tell(() -> processed.add(2)));
+        assertFalse(mailbox.tell(() -> processed.add(3)));
         runAll();
-        assertEquals(List.of(1, 2), ran);
-        assertTrue(mailbox.tell(() -> ran.add(4)));
+        assertEquals(List.of(1, 2), processed);
+        assertTrue(mailbox.tell(() -> processed.add(4)));
     }
 
     @Test
-    public void whoeverWaitsForAMessageHearsThatItFailed() {
+    public void failureCallbackRunsWhenMessageThrows() {
         Mailbox mailbox = new Mailbox(executor::add, 9);
         Runnable fault = () -> {
             throw new IllegalStateException("meant to fail");
         };
-        mailbox.tell(fault, () -> ran.add(1));
+        mailbox.tell(fault, () -> processed.add(1));
         mailbox.tell(fault, fault);
-        mailbox.tell(() -> ran.add(2), () -> ran.add(3));
+        mailbox.tell(() -> processed.add(2), () -> processed.add(3));
         runAll();
-        assertEquals(List.of(1, 2), ran);
+        assertEquals(List.of(1, 2), processed);
     }
 }
--- a/node/src/test/java/fawnlb/http/BodyReaderTest.java
+++ b/node/src/test/java/fawnlb/http/RequestBodyReaderTest.java
@@ -17,20 +17,20 @@
 import org.junit.Before;
 import org.junit.Test;
 
-public class BodyReaderTest {
-    private static final int LARGE = 200_000;
-    private static final long PATIENCE = 30_000_000_000L;
+public class RequestBodyReaderTest {
+    private static final int LARGE_BODY_BYTES = 200_000;
+    private static final long TIMEOUT_NANOS = 30_000_000_000L;
 
     /** Room for one large body, whose buffer is 256 KiB, and for no second. */
-    private final BodyReader bodies = new BodyReader(300_000);
+    private final RequestBodyReader bodyReader = new RequestBodyReader(300_000);
 
     private final Undertow server = Undertow.builder()
             .setIoThreads(1)
             .addHttpListener(0, "127.0.0.1")
-            .setHandler(exchange -> bodies.receive(
+            .setHandler(exchange -> bodyReader.receive(
                     exchange,
                     (taken, body) -> answer(taken, StatusCodes.OK, "took " + body.length),
-                    BodyReaderTest::answer))
+                    RequestBodyReaderTest::answer))
             .build();
     private final List<Socket> clients = new ArrayList<>();
 
@@ -54,22 +54,24 @@
     }
 
     /** A client that has sent so much of a large body. */
-    private Socket sends(int bytes) throws IOException {
+    private Socket sendPartialBody(int bytes) throws IOException {
         InetSocketAddress address =
                 (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
         Socket client = new Socket(address.getAddress(), address.getPort());
         client.setSoTimeout(10_000);
         clients.add(client);
         client.getOutputStream()
-                .write(("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: " + LARGE + "\r\n\r\n" + "x".repeat(bytes))
+                .write(("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: " + LARGE_BODY_BYTES + "\r\n\r\n"
+                                + "x".repeat(bytes))
                         .getBytes(StandardCharsets.ISO_8859_1));
         return client;
     }
 
     /** What a client gets that sends the whole of a large body. */
-    private String whole() throws IOException {
+    private String exchangeFullBody() throws IOException {
         try {
-            return new String(sends(LARGE).getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+            return new String(
+                    sendPartialBody(LARGE_BODY_BYTES).getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         } catch (IOException e) {
             // A refusal closes upon what is still being sent, and may take its answer with it.
             return "";
@@ -81,28 +83,28 @@
      * the second is sent until the first is held, and the first anew if it was given up meanwhile.
      */
     @Test
-    public void aBodyForWhichThereIsNoRoomIsRefusedAndItsRoomGivenBack() throws Exception {
-        long end = System.nanoTime() + PATIENCE;
-        Socket first = sends(LARGE - 1);
-        String second = whole();
+    public void bodyOverMemoryLimitIsRejectedAndMemoryIsReleased() throws Exception {
+        long end = System.nanoTime() + TIMEOUT_NANOS;
+        Socket first = sendPartialBody(LARGE_BODY_BYTES - 1);
+        String second = exchangeFullBody();
         while (!second.startsWith("HTTP/1.1 503") && System.nanoTime() < end) {
-            assertTrue(second, second.isEmpty() || second.endsWith("took " + LARGE));
+            assertTrue(second, second.isEmpty() || second.endsWith("took " + LARGE_BODY_BYTES));
             if (first.getInputStream().available() > 0) {
                 first.close();
-                first = sends(LARGE - 1);
+                first = sendPartialBody(LARGE_BODY_BYTES - 1);
             }
-            second = whole();
+            second = exchangeFullBody();
         }
         assertTrue(
                 second,
                 second.contains("Retry-After: 1\r\n") && second.endsWith("no room for the body; try again later"));
         first.close();
-        end = System.nanoTime() + PATIENCE;
-        String third = whole();
+        end = System.nanoTime() + TIMEOUT_NANOS;
+        String third = exchangeFullBody();
         while (!third.startsWith("HTTP/1.1 200") && System.nanoTime() < end) {
             assertTrue(third, third.isEmpty() || third.startsWith("HTTP/1.1 503"));
-            third = whole();
+            third = exchangeFullBody();
         }
-        assertEquals("took " + LARGE, third.substring(third.lastIndexOf('\n') + 1));
+        assertEquals("took " + LARGE_BODY_BYTES, third.substring(third.lastIndexOf('\n') + 1));
     }
 }
--- a/node/src/test/java/fawnlb/http/ResponseParserTest.java
+++ b/node/src/test/java/fawnlb/http/ResponseParserTest.java
@@ -13,7 +13,7 @@
 public class ResponseParserTest {
     private static final String OK = "HTTP/1.1 200 OK\r\n";
     /** Input; status; body; whole before the end of the connection; connection usable again. */
-    private static final Object[][] GOOD = {
+    private static final Object[][] VALID_RESPONSES = {
         {OK + "Content-Length: 3\r\n\r\nabc", 200, "abc", true, true},
         {OK + "content-length: 0\r\n\r\n", 200, "", true, true},
         {OK + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n", 200, "abcde", true, true},
@@ -42,7 +42,7 @@
         },
     };
 
-    private static final String[] BAD = {
+    private static final String[] MALFORMED_RESPONSES = {
         OK + "\r\nall of it",
         "SPDY/1 200 OK\r\n\r\n",
         "HTTP/1.1 2000 OK\r\n\r\n",
@@ -80,48 +80,48 @@
     }
 
     @Test
-    public void goodResponsesReadAlikeHoweverTheyAreCut() throws IOException {
-        for (Object[] row : GOOD) {
-            for (int piece : new int[] {1, 2, 7, 1000}) {
+    public void validResponsesParseAtAnyFragmentation() throws IOException {
+        for (Object[] row : VALID_RESPONSES) {
+            for (int fragmentBytes : new int[] {1, 2, 7, 1000}) {
                 ResponseParser parser = new ResponseParser();
                 String in = (String) row[0];
                 ByteBuffer body = ByteBuffer.allocate(100);
-                for (int at = 0; at < in.length(); at += piece) {
-                    parser.feed(bytes(in.substring(at, Math.min(in.length(), at + piece))), body);
+                for (int at = 0; at < in.length(); at += fragmentBytes) {
+                    parser.parse(bytes(in.substring(at, Math.min(in.length(), at + fragmentBytes))), body);
                 }
                 assertEquals(in, row[1], parser.head().status());
                 assertEquals(in, row[2], new String(body.array(), 0, body.position(), StandardCharsets.ISO_8859_1));
-                assertEquals(in, row[3], parser.done());
+                assertEquals(in, row[3], parser.isComplete());
                 assertEquals(in, row[4], parser.head().keepAlive());
-                assertTrue(in, parser.eof());
+                assertTrue(in, parser.onEndOfInput());
             }
         }
     }
 
     @Test
-    public void badResponsesAreErrors() {
-        for (String in : BAD) {
-            assertThrows(in, IOException.class, () -> new ResponseParser().feed(bytes(in), ByteBuffer.allocate(100)));
+    public void malformedResponsesAreRejected() {
+        for (String in : MALFORMED_RESPONSES) {
+            assertThrows(in, IOException.class, () -> new ResponseParser().parse(bytes(in), ByteBuffer.allocate(100)));
         }
     }
 
     /** The stream is good; its connection is not to be used again, or the next request gets the second answer. */
     @Test
-    public void whatComesBehindAResponseIsToldAndNotRead() throws IOException {
+    public void surplusBytesAreReportedAndNotRead() throws IOException {
         for (String framing :
                 new String[] {"Content-Length: 1\r\n\r\na", "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"}) {
             ResponseParser parser = new ResponseParser();
             ByteBuffer body = ByteBuffer.allocate(100);
-            parser.feed(bytes(OK + framing), body);
-            assertFalse(parser.surplus());
-            parser.feed(bytes(OK + framing), body);
-            assertTrue(parser.done() && parser.surplus());
+            parser.parse(bytes(OK + framing), body);
+            assertFalse(parser.hasSurplusBytes());
+            parser.parse(bytes(OK + framing), body);
+            assertTrue(parser.isComplete() && parser.hasSurplusBytes());
             assertEquals(1, body.position());
         }
     }
 
     @Test
-    public void aCutResponseIsNotWhole() throws IOException {
+    public void truncatedResponseIsIncomplete() throws IOException {
         for (String in : new String[] {
             "",
             "HTTP/1.1 2",
@@ -131,8 +131,8 @@
             OK + "Transfer-Encoding: chunked\r\n\r\n0\r\n"
         }) {
             ResponseParser parser = new ResponseParser();
-            parser.feed(bytes(in), ByteBuffer.allocate(100));
-            assertFalse(in, parser.eof());
+            parser.parse(bytes(in), ByteBuffer.allocate(100));
+            assertFalse(in, parser.onEndOfInput());
         }
     }
 }
--- a/node/src/test/java/fawnlb/policy/ActionDigest.java
+++ b/node/src/test/java/fawnlb/policy/ActionDigest.java
@@ -1,7 +1,7 @@
 package fawnlb.policy;
 
-import fawnlb.decision.Balancer;
-import fawnlb.decision.Balancer.Action;
+import fawnlb.decision.LoadBalancer;
+import fawnlb.decision.LoadBalancer.LoadBalancerAction;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -35,25 +35,25 @@
         }
     }
 
-    void add(long now, Action action) {
+    void add(long now, LoadBalancerAction action) {
         actions++;
-        if (action instanceof Balancer.Send start) {
-            put(now, START_ATTEMPT, start.request(), start.replica(), start.stopAt());
-        } else if (action instanceof Balancer.Cancel cancel) {
-            put(now, CANCEL_ATTEMPT, cancel.request(), cancel.attempt());
-        } else if (action instanceof Balancer.Refuse reject) {
-            put(now, REJECT_REQUEST, reject.request(), reject.retryAfter());
-        } else if (action instanceof Balancer.Fail fail) {
-            put(now, FAIL_REQUEST, fail.request());
-        } else if (action instanceof Balancer.Timer timer) {
-            put(now, SET_TIMER, timer.at(), timer.token());
-        } else if (action instanceof Balancer.Subscribe) {
+        if (action instanceof LoadBalancer.StartAttempt start) {
+            put(now, START_ATTEMPT, start.requestId(), start.endpointId(), start.deadline());
+        } else if (action instanceof LoadBalancer.CancelAttempt cancel) {
+            put(now, CANCEL_ATTEMPT, cancel.requestId(), cancel.attempt());
+        } else if (action instanceof LoadBalancer.RejectRequest reject) {
+            put(now, REJECT_REQUEST, reject.requestId(), reject.retryAfterNanos());
+        } else if (action instanceof LoadBalancer.FailRequest fail) {
+            put(now, FAIL_REQUEST, fail.requestId());
+        } else if (action instanceof LoadBalancer.SetTimer timer) {
+            put(now, SET_TIMER, timer.dueAt(), timer.token());
+        } else if (action instanceof LoadBalancer.WatchEndpoints) {
             put(now, WATCH_ENDPOINTS);
-        } else if (action instanceof Balancer.Fetch) {
+        } else if (action instanceof LoadBalancer.FetchEndpoints) {
             put(now, FETCH_ENDPOINTS);
-        } else if (action instanceof Balancer.Probe check) {
-            put(now, CHECK_HEALTH, check.replica());
-        } else if (action instanceof Balancer.Log log) {
+        } else if (action instanceof LoadBalancer.CheckHealth check) {
+            put(now, CHECK_HEALTH, check.endpointId());
+        } else if (action instanceof LoadBalancer.Log log) {
             put(now, LOG);
             digest.update(log.text().getBytes(StandardCharsets.UTF_8));
         }
--- a/node/src/test/java/fawnlb/policy/LimitsTest.java
+++ b/node/src/test/java/fawnlb/policy/DecisionModuleConstraintsTest.java
@@ -15,9 +15,9 @@
 /**
  * Holds the decision module to what its readers were promised: narrow files that decide, without I/O, clock or threads.
  */
-class LimitsTest {
+class DecisionModuleConstraintsTest {
     private static final int MAX_WIDTH = 120;
-    private static final Pattern OUTSIDE = Pattern.compile(
+    private static final Pattern FORBIDDEN = Pattern.compile(
             "import java\\.(io|net|nio|time|util\\.concurrent)"
                     + "|System\\.(nanoTime|currentTimeMillis|in|out|err|getenv|getProperty)|new Thread|Math\\.random|java\\.util\\.Random");
 
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void thePolicyStaysNarrow() throws IOException {
+    void policyLinesStayWithinTheWidth() throws IOException {
         List<String> lines = linesOf("policy");
         assertTrue(lines.size() > 500);
         assertEquals(
@@ -43,10 +43,10 @@
     }
 
     @Test
-    void decisionsReadNoClockAndDoNoInputOrOutput() throws IOException {
-        List<String> lines = linesOf("policy", "membership", "probation", "view", "stream");
+    void decisionModulesUseNoClockAndNoInputOrOutput() throws IOException {
+        List<String> lines = linesOf("policy", "membership", "restore", "filter", "stream");
         assertEquals(
                 List.of(),
-                lines.stream().filter(line -> OUTSIDE.matcher(line).find()).toList());
+                lines.stream().filter(line -> FORBIDDEN.matcher(line).find()).toList());
     }
 }
--- /dev/null
+++ b/node/src/test/java/fawnlb/policy/EndpointSelectionTest.java
@@ -0,0 +1,178 @@
+package fawnlb.policy;
+
+import static fawnlb.policy.LoadBalancerHarness.endpoint;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import fawnlb.decision.LoadBalancer;
+import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.LongStream;
+import org.junit.jupiter.api.Test;
+
+class EndpointSelectionTest {
+    private static final int KEYS = 2000;
+
+    private static long[] primaryEndpoints(LoadBalancerHarness harness) {
+        return LongStream.rangeClosed(1, KEYS).map(harness::primaryEndpoint).toArray();
+    }
+
+    private static int differing(long[] a, long[] b) {
+        return (int)
+                LongStream.range(0, KEYS).filter(i -> a[(int) i] != b[(int) i]).count();
+    }
+
+    @Test
+    void selectionDoesNotDependOnTheOrderOfUpdates() {
+        LoadBalancerHarness whole =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(12);
+        LoadBalancerHarness bits = new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings())
+                .updateEndpoints(
+                        EndpointUpdateKind.CACHED,
+                        endpoint(9, EndpointPhase.READY, 0, 0),
+                        endpoint(40, EndpointPhase.READY, 0, 0));
+        for (long id : new long[] {12, 3, 7, 1, 2, 11, 5, 4, 10, 6, 8}) {
+            bits.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(id, EndpointPhase.READY, 0, (int) (id % 3)));
+        }
+        bits.updateEndpoints(
+                EndpointUpdateKind.DELTA,
+                endpoint(40, EndpointPhase.GONE, 0, 0),
+                endpoint(3, EndpointPhase.GONE, 0, 0));
+        bits.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(3, EndpointPhase.READY, 0, 0));
+        assertEquals(0, differing(primaryEndpoints(whole), primaryEndpoints(bits)));
+    }
+
+    @Test
+    void joiningAndLeavingEndpointsMoveOnlyTheirOwnKeys() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(12);
+        long[] before = primaryEndpoints(harness);
+        harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(99, EndpointPhase.READY, 0, 0));
+        long[] joined = primaryEndpoints(harness);
+        int moved = differing(before, joined);
+        assertTrue(moved > KEYS / 13 / 2 && moved < KEYS / 13 * 2, "moved " + moved);
+        for (int i = 0; i < KEYS; i++) {
+            assertTrue(joined[i] == before[i] || joined[i] == 99);
+        }
+        harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(99, EndpointPhase.GONE, 0, 0));
+        assertEquals(0, differing(before, primaryEndpoints(harness)));
+    }
+
+    @Test
+    void leavingAndReturningWithinOneUpdateKeepsSelection() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(6);
+        long[] before = primaryEndpoints(harness);
+        harness.updateEndpoints(
+                EndpointUpdateKind.DELTA,
+                endpoint(3, EndpointPhase.GONE, 0, 0),
+                endpoint(3, EndpointPhase.READY, 0, 0));
+        harness.updateEndpoints(
+                EndpointUpdateKind.DELTA,
+                endpoint(70, EndpointPhase.READY, 0, 0),
+                endpoint(70, EndpointPhase.GONE, 0, 0));
+        assertEquals(0, differing(before, primaryEndpoints(harness)));
+        harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(3, EndpointPhase.GONE, 0, 0));
+        harness.updateEndpoints(EndpointUpdateKind.FULL, endpoint(5, EndpointPhase.READY, 0, 0));
+        assertEquals(5, harness.primaryEndpoint(1));
+    }
+
+    @Test
+    void boundIsFiveQuartersOfTheEvenShareRoundedUp() {
+        assertEquals(1, BoundedLoadBalancer.cap(0, 4, BoundedLoadBalancer.NARROW));
+        assertEquals(1, BoundedLoadBalancer.cap(2, 4, BoundedLoadBalancer.NARROW));
+        assertEquals(2, BoundedLoadBalancer.cap(3, 4, BoundedLoadBalancer.NARROW));
+        assertEquals(5, BoundedLoadBalancer.cap(15, 4, BoundedLoadBalancer.NARROW));
+        assertEquals(6, BoundedLoadBalancer.cap(16, 4, BoundedLoadBalancer.NARROW));
+        assertEquals(2, BoundedLoadBalancer.cap(0, 0, BoundedLoadBalancer.NARROW));
+        assertEquals(10, BoundedLoadBalancer.cap(15, 4, 2 * BoundedLoadBalancer.NARROW));
+    }
+
+    @Test
+    void noEndpointExceedsTheBoundAndAHotKeySpreads() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(10);
+        Map<Long, Integer> out = new HashMap<>();
+        for (int i = 0; i < 60; i++) {
+            harness.arrive(5, 5);
+            int count = out.merge(harness.lastAttempt().endpointId(), 1, Integer::sum);
+            assertTrue(count
+                    <= Math.max(
+                            BoundedLoadBalancer.QUIET_CAP, BoundedLoadBalancer.cap(i, 10, BoundedLoadBalancer.WIDEST)));
+        }
+        assertTrue(out.size() >= 5, "used " + out.size());
+    }
+
+    @Test
+    void drainingEndpointsReceiveNothingNew() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(3);
+        long home = harness.primaryEndpoint(77);
+        harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(home, EndpointPhase.DRAINING, 0, (int) (home % 3)));
+        assertNotEquals(home, harness.primaryEndpoint(77));
+        Set<Long> used = new HashSet<>();
+        LongStream.range(1, 300).forEach(key -> used.add(harness.primaryEndpoint(key)));
+        assertEquals(2, used.size());
+    }
+
+    @Test
+    void firstPermittedEndpointIsUsedWhenAllAreAtTheBound() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(1);
+        for (int i = 0; i < 50; i++) {
+            harness.arrive(0, i + 1);
+        }
+        assertEquals(50, harness.startedAttempts().size());
+    }
+
+    @Test
+    void requestsWithoutKeysSpreadByRequestId() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(10);
+        Set<Long> used = new HashSet<>();
+        for (int i = 0; i < 100; i++) {
+            used.add(harness.primaryEndpoint(0));
+        }
+        assertTrue(used.size() >= 8);
+    }
+
+    @Test
+    void everyOutcomeLowersTheInFlightCount() {
+        for (AttemptOutcome outcome : AttemptOutcome.values()) {
+            LoadBalancerHarness harness =
+                    new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
+            long home = harness.primaryEndpoint(3);
+            for (int i = 0; i < BoundedLoadBalancer.QUIET_CAP; i++) {
+                harness.arrive(0, 3);
+                assertEquals(home, harness.lastAttempt().endpointId());
+                harness.endAttempt(harness.lastAttempt(), 0, outcome, true);
+                harness.now += 60 * LoadBalancerHarness.S;
+            }
+            assertEquals(home, harness.primaryEndpoint(3), outcome.name());
+        }
+    }
+
+    @Test
+    void ownZoneIsPreferredForSomeKeysWhereCrossingCostsMore() {
+        LoadBalancerHarness free =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(12);
+        LoadBalancerHarness priced = new LoadBalancerHarness(LoadBalancerHarness.settings(
+                        LoadBalancer.Idempotency.IDEMPOTENT,
+                        LoadBalancer.IdempotencyScope.ALL,
+                        LoadBalancer.DiscoveryMode.PUSHED,
+                        new LoadBalancer.Costs(0.08, 0.05)))
+                .withReadyEndpoints(12);
+        long freeNear =
+                LongStream.of(primaryEndpoints(free)).filter(id -> id % 3 == 0).count();
+        long pricedNear = LongStream.of(primaryEndpoints(priced))
+                .filter(id -> id % 3 == 0)
+                .count();
+        assertTrue(pricedNear > freeNear + KEYS / 10 && pricedNear < KEYS * 2 / 3, freeNear + " " + pricedNear);
+    }
+}
--- a/node/src/test/java/fawnlb/policy/FleetTest.java
+++ b/node/src/test/java/fawnlb/policy/FleetTest.java
@@ -2,15 +2,15 @@
 
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.Balancer;
-import fawnlb.decision.Balancer.Ended;
-import fawnlb.decision.Balancer.ListKind;
-import fawnlb.decision.Balancer.Listed;
-import fawnlb.decision.Balancer.Outcome;
-import fawnlb.decision.Balancer.Phase;
-import fawnlb.decision.Balancer.Replica;
-import fawnlb.decision.Balancer.Send;
-import fawnlb.decision.Balancer.Started;
+import fawnlb.decision.LoadBalancer;
+import fawnlb.decision.LoadBalancer.AttemptEnded;
+import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.LoadBalancer.Endpoint;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import fawnlb.decision.LoadBalancer.EndpointsUpdated;
+import fawnlb.decision.LoadBalancer.ResponseStarted;
+import fawnlb.decision.LoadBalancer.StartAttempt;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -25,132 +25,155 @@
 
 /** What many modules do together, on one clock: each alone may look harmless. */
 public class FleetTest {
-    private static final long MS = Rig.MS;
+    private static final long MS = LoadBalancerHarness.MS;
     /** How long an answer takes. */
-    private static final long TOOK = 2000 * MS;
+    private static final long ANSWER_NANOS = 2000 * MS;
 
     /** Something that happens to the fleet at a time. */
-    private record Due(long at, long order, Runnable what) {}
+    private record Due(long at, long order, Runnable callback) {}
 
     /** So many modules over so many replicas; each request goes to any of them, and each send is counted. */
     private static final class Fleet {
-        final List<Choice> modules = new ArrayList<>();
+        final List<BoundedLoadBalancer> loadBalancers = new ArrayList<>();
         final PriorityQueue<Due> queue =
                 new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
         final Map<Long, Long> prefixes = new HashMap<>();
         /** Replicas that were sent a prefix. */
-        final Map<Long, Set<Long>> places = new HashMap<>();
+        final Map<Long, Set<Long>> endpointsOfPrefix = new HashMap<>();
 
-        final Map<Long, Integer> sends = new HashMap<>();
+        final Map<Long, Integer> attemptsOfEndpoint = new HashMap<>();
         /** When the first replica was sent something. */
-        final List<Long> toFirst = new ArrayList<>();
+        final List<Long> attemptTimesOfFirstEndpoint = new ArrayList<>();
 
         final SplittableRandom random;
-        final int replicas;
+        final int endpoints;
         /** So many times the usual rate; and some routers get several times the mean. */
         double rate = 1;
 
-        boolean uneven;
+        boolean unevenTraffic;
         /** How long an answer takes at the slower kind. */
-        long slow = TOOK;
+        long slowAnswerNanos = ANSWER_NANOS;
 
-        long now = 100 * Rig.S;
+        long now = 100 * LoadBalancerHarness.S;
         long ids;
 
         /** So many replicas in five are of the slower kind. */
-        final int slowInFive;
+        final int slowEndpointsInFive;
 
-        Fleet(int routers, int replicas, long seed) {
-            this(routers, replicas, seed, 2);
+        Fleet(int instances, int endpoints, long seed) {
+            this(instances, endpoints, seed, 2);
         }
 
-        Fleet(int routers, int replicas, long seed, int slowInFive) {
-            this(routers, replicas, seed, slowInFive, Rig.safe().rules());
+        Fleet(int instances, int endpoints, long seed, int slowInFive) {
+            this(
+                    instances,
+                    endpoints,
+                    seed,
+                    slowInFive,
+                    LoadBalancerHarness.idempotentSettings().endpointLifecycle());
         }
 
-        Fleet(int routers, int replicas, long seed, int slowInFive, Balancer.Rules rules) {
-            this.replicas = replicas;
-            this.slowInFive = slowInFive;
+        Fleet(int instances, int endpoints, long seed, int slowInFive, LoadBalancer.EndpointLifecycle lifecycle) {
+            this.endpoints = endpoints;
+            this.slowEndpointsInFive = slowInFive;
             random = new SplittableRandom(seed);
-            for (int me = 0; me < routers; me++) {
-                modules.add(fresh(routers, me, seed, rules, 0));
+            for (int instanceIndex = 0; instanceIndex < instances; instanceIndex++) {
+                loadBalancers.add(newLoadBalancer(instances, instanceIndex, seed, lifecycle, 0));
             }
         }
 
         /** A module that has met nothing but the list, in which the first replica started at this time. */
-        Choice fresh(int routers, int me, long seed, Balancer.Rules rules, long firstAt) {
-            Choice choice = new Choice(Rig.routers(routers, me, rules), seed + me, action -> {
-                if (action instanceof Send send) {
-                    sent(me, send);
-                }
-            });
-            choice.on(
+        BoundedLoadBalancer newLoadBalancer(
+                int instances, int instanceIndex, long seed, LoadBalancer.EndpointLifecycle lifecycle, long firstAt) {
+            BoundedLoadBalancer loadBalancer = new BoundedLoadBalancer(
+                    LoadBalancerHarness.instanceSettings(instances, instanceIndex, lifecycle),
+                    seed + instanceIndex,
+                    action -> {
+                        if (action instanceof StartAttempt send) {
+                            onAttemptStarted(instanceIndex, send);
+                        }
+                    });
+            loadBalancer.onEvent(
                     now,
-                    new Listed(
-                            ListKind.FULL,
+                    new EndpointsUpdated(
+                            EndpointUpdateKind.FULL,
                             1,
-                            LongStream.rangeClosed(1, replicas)
-                                    .mapToObj(id -> new Replica(
-                                            id, Phase.READY, id == 1 ? firstAt : 0, 1, 0, 0, slow(id) ? 1 : 0))
+                            LongStream.rangeClosed(1, endpoints)
+                                    .mapToObj(id -> new Endpoint(
+                                            id,
+                                            EndpointPhase.READY,
+                                            id == 1 ? firstAt : 0,
+                                            1,
+                                            0,
+                                            0,
+                                            isSlow(id) ? 1 : 0))
                                     .toList()));
-            return choice;
+            return loadBalancer;
         }
 
-        void sent(int me, Send send) {
-            places.computeIfAbsent(prefixes.get(send.request()), k -> new HashSet<>())
-                    .add(send.replica());
-            sends.merge(send.replica(), 1, Integer::sum);
-            if (send.replica() == 1) {
-                toFirst.add(now);
+        void onAttemptStarted(int instanceIndex, StartAttempt send) {
+            endpointsOfPrefix
+                    .computeIfAbsent(prefixes.get(send.requestId()), k -> new HashSet<>())
+                    .add(send.endpointId());
+            attemptsOfEndpoint.merge(send.endpointId(), 1, Integer::sum);
+            if (send.endpointId() == 1) {
+                attemptTimesOfFirstEndpoint.add(now);
             }
-            long took = slow(send.replica()) ? slow : TOOK;
-            at(now + 100 * MS, () -> modules.get(me).on(now, new Started(send.request(), 0, send.replica(), 100 * MS)));
-            at(
+            long took = isSlow(send.endpointId()) ? slowAnswerNanos : ANSWER_NANOS;
+            schedule(
+                    now + 100 * MS,
+                    () -> loadBalancers
+                            .get(instanceIndex)
+                            .onEvent(now, new ResponseStarted(send.requestId(), 0, send.endpointId(), 100 * MS)));
+            schedule(
                     now + took,
-                    () -> modules.get(me)
-                            .on(
+                    () -> loadBalancers
+                            .get(instanceIndex)
+                            .onEvent(
                                     now,
-                                    new Ended(
-                                            send.request(),
+                                    new AttemptEnded(
+                                            send.requestId(),
                                             0,
-                                            send.replica(),
-                                            Outcome.SERVED,
+                                            send.endpointId(),
+                                            AttemptOutcome.SERVED,
                                             true,
                                             took,
                                             0,
                                             List.of())));
         }
 
-        boolean slow(long replica) {
-            return replica % 5 < slowInFive;
+        boolean isSlow(long replica) {
+            return replica % 5 < slowEndpointsInFive;
         }
 
-        void at(long time, Runnable what) {
+        void schedule(long time, Runnable what) {
             queue.add(new Due(time, ids++, what));
         }
 
         /** Requests with these prefixes, at a rate that keeps about two in flight at each replica. */
         void play(int requests, long[] prefix) {
-            long gap = (long) (TOOK / (2 * replicas * rate));
+            long gap = (long) (ANSWER_NANOS / (2 * endpoints * rate));
             for (int i = 0; i < requests; i++) {
                 for (now += gap; !queue.isEmpty() && queue.peek().at() <= now; ) {
-                    queue.poll().what().run();
+                    queue.poll().callback().run();
                 }
                 long id = ++ids;
                 // A prefix is the rarer the later it stands, as 1/k.
                 int k = (int) Math.exp(random.nextDouble() * Math.log(prefix.length + 1)) - 1;
                 prefixes.put(id, prefix[k]);
-                int most = uneven && random.nextBoolean() ? (modules.size() + 9) / 10 : modules.size();
-                modules.get(random.nextInt(most))
-                        .on(
+                int most =
+                        unevenTraffic && random.nextBoolean() ? (loadBalancers.size() + 9) / 10 : loadBalancers.size();
+                loadBalancers
+                        .get(random.nextInt(most))
+                        .onEvent(
                                 now,
-                                new Balancer.Request(
+                                new LoadBalancer.RequestArrived(
                                         id,
                                         0,
                                         0,
                                         random.nextLong() | 1,
                                         prefix[k],
-                                        4 * Rig.S,
+                                        4 * LoadBalancerHarness.S,
                                         0,
                                         3000,
                                         2500,
@@ -164,17 +187,18 @@
 
     /** Where a fleet has more replicas than prefixes, each beginning is still read by few of them. */
     @Test
-    public void aBeginningIsReadByAsManyReplicasAsItsLoadNeedsHoweverLargeTheFleet() {
+    public void prefixUsesOnlyAsManyEndpointsAsItsLoadNeedsInFleetsOfAnySize() {
         int[][] cases = {{2, 10}, {4, 20}, {14, 60}, {30, 120}};
         for (int[] size : cases) {
             for (long seed = 1; seed <= 3; seed++) {
                 Fleet fleet = new Fleet(size[0], size[1], seed);
                 long[] prefix = LongStream.rangeClosed(1, 40).map(i -> i * 7919).toArray();
                 fleet.play(60 * size[1], prefix);
-                fleet.places.clear();
+                fleet.endpointsOfPrefix.clear();
                 fleet.play(40 * size[1], prefix);
-                double pairs =
-                        fleet.places.values().stream().mapToInt(Set::size).sum();
+                double pairs = fleet.endpointsOfPrefix.values().stream()
+                        .mapToInt(Set::size)
+                        .sum();
                 String what = size[0] + " routers, " + size[1] + " replicas, seed " + seed + ": " + pairs;
                 assertTrue(what, pairs < prefix.length + 12 * size[1]);
             }
@@ -186,7 +210,7 @@
      * replica.
      */
     @Test
-    public void aHotBeginningIsDealtOutThoughNoRouterHasSeenMuchOfIt() {
+    public void hotPrefixSpreadsThoughEachInstanceSeesLittleOfIt() {
         int[][] cases = {{3, 14}, {60, 30}, {100, 45}, {100, 90}};
         for (int[] size : cases) {
             for (long seed = 1; seed <= 3; seed++) {
@@ -196,7 +220,7 @@
                         requests,
                         LongStream.rangeClosed(1, 20).map(i -> i * 7919).toArray());
                 double much = 1.5 * requests / size[1];
-                double over = fleet.sends.values().stream()
+                double over = fleet.attemptsOfEndpoint.values().stream()
                                 .mapToDouble(n -> Math.max(0, n - much))
                                 .sum()
                         / requests;
@@ -210,23 +234,28 @@
      * double it.
      */
     @Test
-    public void whatAllRoutersRetryAtOnceDoesNotGrowWithTheFleet() {
-        for (int routers : new int[] {1, 2, 14, 100}) {
+    public void retryBurstOfAllInstancesDoesNotGrowWithTheFleet() {
+        for (int instances : new int[] {1, 2, 14, 100}) {
             int sent = 0;
             int each = 10;
-            for (int me = 0; me < routers; me++) {
-                Rig rig = new Rig(Rig.routers(routers, me)).ready(30);
+            for (int instanceIndex = 0; instanceIndex < instances; instanceIndex++) {
+                LoadBalancerHarness harness = new LoadBalancerHarness(
+                                LoadBalancerHarness.instanceSettings(instances, instanceIndex))
+                        .withReadyEndpoints(30);
                 for (int i = 0; i < each; i++) {
-                    rig.request(0, 1000 + i);
-                    for (int attempt = 0, before = 0; attempt < 4 && rig.sends().size() > before; attempt++) {
-                        before = rig.sends().size();
-                        rig.end(rig.last(), attempt, Outcome.ERROR, false);
+                    harness.arrive(0, 1000 + i);
+                    for (int attempt = 0, before = 0;
+                            attempt < 4 && harness.startedAttempts().size() > before;
+                            attempt++) {
+                        before = harness.startedAttempts().size();
+                        harness.endAttempt(harness.lastAttempt(), attempt, AttemptOutcome.ERROR, false);
                     }
                 }
-                sent += rig.sends().size();
+                sent += harness.startedAttempts().size();
             }
-            double most = routers * each * (1 + Choice.RETRY_PART) + Math.max(routers, Choice.RETRY_BURST);
-            assertTrue(routers + " routers: " + sent + " of " + most, sent <= most);
+            double most = instances * each * (1 + BoundedLoadBalancer.RETRY_PART)
+                    + Math.max(instances, BoundedLoadBalancer.RETRY_BURST);
+            assertTrue(instances + " routers: " + sent + " of " + most, sent <= most);
         }
     }
 
@@ -237,17 +266,25 @@
      * 0.8 of its capacity before it.
      */
     @Test
-    public void aColdReplicaIsNotPushedOverByAllRoutersTogether() {
-        Balancer.Rules[] figures = {
-            new Balancer.Rules(750 * MS, 10 * Rig.S, 0.36, 8900 * MS, 4, 3 * Rig.S),
-            new Balancer.Rules(Rig.S, 10 * Rig.S, 0.12, 24 * Rig.S, 2.5, 2 * Rig.S),
-            new Balancer.Rules(500 * MS, 10 * Rig.S, 0.5, 5 * Rig.S, 3, Rig.S)
+    public void instancesTogetherDoNotOverloadAnEndpointInSlowStart() {
+        LoadBalancer.EndpointLifecycle[] figures = {
+            new LoadBalancer.EndpointLifecycle(
+                    750 * MS, 10 * LoadBalancerHarness.S, 0.36, 8900 * MS, 4, 3 * LoadBalancerHarness.S),
+            new LoadBalancer.EndpointLifecycle(
+                    LoadBalancerHarness.S,
+                    10 * LoadBalancerHarness.S,
+                    0.12,
+                    24 * LoadBalancerHarness.S,
+                    2.5,
+                    2 * LoadBalancerHarness.S),
+            new LoadBalancer.EndpointLifecycle(
+                    500 * MS, 10 * LoadBalancerHarness.S, 0.5, 5 * LoadBalancerHarness.S, 3, LoadBalancerHarness.S)
         };
         int[][] cases = {{2, 12}, {6, 12}, {20, 12}, {30, 14}, {100, 52}};
-        for (Balancer.Rules rules : figures) {
+        for (LoadBalancer.EndpointLifecycle lifecycle : figures) {
             for (int[] size : cases) {
                 for (long seed = 1; seed <= 8; seed++) {
-                    for (Window window : sentToColdReplica(size[0], size[1], seed, rules, 1)) {
+                    for (Window window : attemptsDuringSlowStart(size[0], size[1], seed, lifecycle, 1)) {
                         assertTrue(
                                 window.toString(),
                                 window.sum() <= window.allowed() + 2 * Math.sqrt(window.allowed()) + 2);
@@ -267,53 +304,63 @@
      * A replica starts cold under so many times the usual rate, and under a burst of 2.4 times as much in its first 5
      * s; one window for each request that it was sent.
      */
-    private static List<Window> sentToColdReplica(
-            int routers, int replicas, long seed, Balancer.Rules rules, double rate) {
-        String what = routers + " routers, " + replicas + " replicas, seed " + seed + ", " + rules;
+    private static List<Window> attemptsDuringSlowStart(
+            int instances, int endpoints, long seed, LoadBalancer.EndpointLifecycle lifecycle, double rate) {
+        String what = instances + " routers, " + endpoints + " replicas, seed " + seed + ", " + lifecycle;
         long[] prefix = LongStream.rangeClosed(1, 40).map(i -> i * 7919).toArray();
-        Fleet fleet = new Fleet(routers, replicas, seed, 0, rules);
-        fleet.uneven = seed % 2 == 0;
+        Fleet fleet = new Fleet(instances, endpoints, seed, 0, lifecycle);
+        fleet.unevenTraffic = seed % 2 == 0;
         fleet.rate = rate;
         // Where seven in ten were killed just then, they have seen no load by which to know their part.
-        int anew = seed % 4 > 1 ? routers * 7 / 10 : 0;
-        fleet.play((int) (rate * 15 * replicas), prefix);
-        fleet.toFirst.clear();
+        int anew = seed % 4 > 1 ? instances * 7 / 10 : 0;
+        fleet.play((int) (rate * 15 * endpoints), prefix);
+        fleet.attemptTimesOfFirstEndpoint.clear();
         long start = fleet.now;
-        for (Choice module : fleet.modules) {
-            long told = start + fleet.random.nextLong(Rig.S);
-            fleet.at(
+        for (BoundedLoadBalancer module : fleet.loadBalancers) {
+            long told = start + fleet.random.nextLong(LoadBalancerHarness.S);
+            fleet.schedule(
                     told,
-                    () -> module.on(
+                    () -> module.onEvent(
                             fleet.now,
-                            new Listed(ListKind.DELTA, 2, List.of(new Replica(1, Phase.READY, start, 1, 0, 0, 0)))));
+                            new EndpointsUpdated(
+                                    EndpointUpdateKind.DELTA,
+                                    2,
+                                    List.of(new Endpoint(1, EndpointPhase.READY, start, 1, 0, 0, 0)))));
         }
-        fleet.at(
+        fleet.schedule(
                 start,
-                () -> fleet.modules.forEach(module -> module.on(
+                () -> fleet.loadBalancers.forEach(module -> module.onEvent(
                         fleet.now,
-                        new Listed(ListKind.DELTA, 1, List.of(new Replica(1, Phase.DRAINING, 0, 1, 0, 0, 0))))));
-        for (int me = 0; me < anew; me++) {
-            int killed = me;
-            fleet.at(start + Rig.S, () -> fleet.modules.set(killed, fleet.fresh(routers, killed, seed, rules, start)));
+                        new EndpointsUpdated(
+                                EndpointUpdateKind.DELTA,
+                                1,
+                                List.of(new Endpoint(1, EndpointPhase.DRAINING, 0, 1, 0, 0, 0))))));
+        for (int instanceIndex = 0; instanceIndex < anew; instanceIndex++) {
+            int killed = instanceIndex;
+            fleet.schedule(
+                    start + LoadBalancerHarness.S,
+                    () -> fleet.loadBalancers.set(
+                            killed, fleet.newLoadBalancer(instances, killed, seed, lifecycle, start)));
         }
         fleet.rate = 2.4 * rate;
-        fleet.play((int) (2.4 * rate * 5 * replicas), prefix);
+        fleet.play((int) (2.4 * rate * 5 * endpoints), prefix);
         fleet.rate = rate;
-        fleet.play((int) (rate * rules.cold() / Rig.S * replicas), prefix);
-        assertTrue(what + ": never used", !fleet.toFirst.isEmpty());
+        fleet.play((int) (rate * lifecycle.slowStartWindowNanos() / LoadBalancerHarness.S * endpoints), prefix);
+        assertTrue(what + ": never used", !fleet.attemptTimesOfFirstEndpoint.isEmpty());
         List<Window> windows = new ArrayList<>();
-        for (int from = 0, to = 0; from < fleet.toFirst.size(); from++) {
-            long begin = fleet.toFirst.get(from);
-            while (to < fleet.toFirst.size() && fleet.toFirst.get(to) < begin + rules.fall()) {
+        for (int from = 0, to = 0; from < fleet.attemptTimesOfFirstEndpoint.size(); from++) {
+            long begin = fleet.attemptTimesOfFirstEndpoint.get(from);
+            while (to < fleet.attemptTimesOfFirstEndpoint.size()
+                    && fleet.attemptTimesOfFirstEndpoint.get(to) < begin + lifecycle.slowStartOverloadWindowNanos()) {
                 to++;
             }
-            double age = Math.min(1, (begin - start) / (double) rules.cold());
-            double allowed = rules.tipMultiple()
-                    * (rules.coldFrom() + (1 - rules.coldFrom()) * age)
+            double age = Math.min(1, (begin - start) / (double) lifecycle.slowStartWindowNanos());
+            double allowed = lifecycle.slowStartOverloadMultiple()
+                    * (lifecycle.slowStartInitialCapacity() + (1 - lifecycle.slowStartInitialCapacity()) * age)
                     * CAPACITY
                     * rate
-                    * rules.fall()
-                    / Rig.S;
+                    * lifecycle.slowStartOverloadWindowNanos()
+                    / LoadBalancerHarness.S;
             windows.add(new Window(what, (begin - start) / MS, to - from, allowed));
         }
         return windows;
@@ -325,16 +372,23 @@
      * down.
      */
     @Test
-    public void coldReplicaIsNotPushedOverWhereItsEvenPartWouldDoIt() {
-        Balancer.Rules[] figures = {
-            new Balancer.Rules(750 * MS, 10 * Rig.S, 0.1, 9 * Rig.S, 2.5, 2 * Rig.S),
-            new Balancer.Rules(500 * MS, 10 * Rig.S, 0.15, 12 * Rig.S, 2, Rig.S)
+    public void slowStartHoldsWhereAnEvenShareWouldOverload() {
+        LoadBalancer.EndpointLifecycle[] figures = {
+            new LoadBalancer.EndpointLifecycle(
+                    750 * MS,
+                    10 * LoadBalancerHarness.S,
+                    0.1,
+                    9 * LoadBalancerHarness.S,
+                    2.5,
+                    2 * LoadBalancerHarness.S),
+            new LoadBalancer.EndpointLifecycle(
+                    500 * MS, 10 * LoadBalancerHarness.S, 0.15, 12 * LoadBalancerHarness.S, 2, LoadBalancerHarness.S)
         };
         int[][] cases = {{1, 6}, {2, 8}, {3, 12}, {30, 12}, {120, 24}};
-        for (Balancer.Rules rules : figures) {
+        for (LoadBalancer.EndpointLifecycle lifecycle : figures) {
             for (int[] size : cases) {
                 for (long seed = 1; seed <= 4; seed++) {
-                    for (Window window : sentToColdReplica(size[0], size[1], seed, rules, 10)) {
+                    for (Window window : attemptsDuringSlowStart(size[0], size[1], seed, lifecycle, 10)) {
                         double n = window.allowed();
                         double most = n < 30 ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
                         assertTrue(window.toString(), window.sum() <= most);
@@ -346,28 +400,31 @@
 
     /** Where all started at once, nobody waits for a moment: there is no warm replica to send to meanwhile. */
     @Test
-    public void aRouterWithoutLoadSendsAtOnceWhereNothingIsWarm() {
+    public void idleInstanceStartsAtOnceWhenAllEndpointsAreInSlowStart() {
         for (long seed = 1; seed <= 20; seed++) {
             for (int warm : new int[] {0, 1}) {
                 List<Long> sent = new ArrayList<>();
-                long now = 100 * Rig.S;
-                Choice choice = new Choice(Rig.routers(2, 0), seed, action -> {
-                    if (action instanceof Send send) {
-                        sent.add(send.replica());
-                    }
-                });
-                choice.on(
+                long now = 100 * LoadBalancerHarness.S;
+                BoundedLoadBalancer loadBalancer =
+                        new BoundedLoadBalancer(LoadBalancerHarness.instanceSettings(2, 0), seed, action -> {
+                            if (action instanceof StartAttempt send) {
+                                sent.add(send.endpointId());
+                            }
+                        });
+                loadBalancer.onEvent(
                         now,
-                        new Listed(
-                                ListKind.FULL,
+                        new EndpointsUpdated(
+                                EndpointUpdateKind.FULL,
                                 1,
                                 LongStream.rangeClosed(1, 2)
-                                        .mapToObj(id -> new Replica(id, Phase.READY, id <= warm ? 0 : now, 1, 0, 0, 0))
+                                        .mapToObj(id ->
+                                                new Endpoint(id, EndpointPhase.READY, id <= warm ? 0 : now, 1, 0, 0, 0))
                                         .toList()));
                 for (long key = 1; key <= 20; key++) {
-                    choice.on(
+                    loadBalancer.onEvent(
                             now,
-                            new Balancer.Request(key, 0, 0, key, 0, 4 * Rig.S, 0, 500, 0, 200, false, false, false));
+                            new LoadBalancer.RequestArrived(
+                                    key, 0, 0, key, 0, 4 * LoadBalancerHarness.S, 0, 500, 0, 200, false, false, false));
                 }
                 // One warm replica takes all; of two cold ones each gets one, and rests.
                 assertTrue(
@@ -381,7 +438,7 @@
 
     /** No router has seen much of any one replica; what it has seen of the kind tells, and all tell the same. */
     @Test
-    public void replicasOfASlowerKindAreSentLessBeforeAnyRouterKnowsThemWell() {
+    public void slowerKindReceivesLessBeforeAnyInstanceKnowsItsEndpoints() {
         // Routers, replicas, slower ones in five and what they may get at most: by their speed it were 0.25, 0.43 and
         // 0.67.
         double[][] cases = {{2, 10, 2, 0.34}, {14, 60, 2, 0.34}, {14, 60, 3, 0.52}, {60, 60, 3, 0.52}, {14, 60, 4, 0.74}
@@ -389,17 +446,17 @@
         for (double[] size : cases) {
             for (long seed = 1; seed <= 3; seed++) {
                 Fleet fleet = new Fleet((int) size[0], (int) size[1], seed, (int) size[2]);
-                fleet.slow = 2 * TOOK;
+                fleet.slowAnswerNanos = 2 * ANSWER_NANOS;
                 long[] prefix =
                         LongStream.rangeClosed(1, 200).map(i -> i * 7919).toArray();
                 fleet.play(20 * (int) size[0], prefix);
-                fleet.sends.clear();
+                fleet.attemptsOfEndpoint.clear();
                 fleet.play(40 * (int) size[1], prefix);
-                int slow = fleet.sends.entrySet().stream()
-                        .filter(e -> fleet.slow(e.getKey()))
+                int slow = fleet.attemptsOfEndpoint.entrySet().stream()
+                        .filter(e -> fleet.isSlow(e.getKey()))
                         .mapToInt(Map.Entry::getValue)
                         .sum();
-                int all = fleet.sends.values().stream()
+                int all = fleet.attemptsOfEndpoint.values().stream()
                         .mapToInt(Integer::intValue)
                         .sum();
                 assertTrue(
@@ -415,38 +472,41 @@
      * on.
      */
     @Test
-    public void aDiscoveryThatStaysAwayIsNotAskedEverMoreOften() {
-        for (int routers : new int[] {1, 2, 14, 100}) {
+    public void discoveryOutageDoesNotIncreaseTheCallRate() {
+        for (int instances : new int[] {1, 2, 14, 100}) {
             PriorityQueue<Due> queue =
                     new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
             Map<Long, Integer> calls = new HashMap<>();
-            long[] clock = {100 * Rig.S, 0};
-            for (int i = 0; i < routers; i++) {
-                Balancer[] module = new Balancer[1];
-                module[0] = new Choice(Rig.asking(routers, i), i, action -> {
-                    if (action instanceof Balancer.Timer timer) {
+            long[] clock = {100 * LoadBalancerHarness.S, 0};
+            for (int i = 0; i < instances; i++) {
+                LoadBalancer[] module = new LoadBalancer[1];
+                module[0] = new BoundedLoadBalancer(LoadBalancerHarness.watchingSettings(instances, i), i, action -> {
+                    if (action instanceof LoadBalancer.SetTimer timer) {
                         queue.add(new Due(
-                                timer.at(),
+                                timer.dueAt(),
                                 clock[1]++,
-                                () -> module[0].on(clock[0], new Balancer.TimerDue(timer.token()))));
-                    } else if (action instanceof Balancer.Subscribe) {
-                        calls.merge(clock[0] / Rig.S, 1, Integer::sum);
+                                () -> module[0].onEvent(clock[0], new LoadBalancer.TimerFired(timer.token()))));
+                    } else if (action instanceof LoadBalancer.WatchEndpoints) {
+                        calls.merge(clock[0] / LoadBalancerHarness.S, 1, Integer::sum);
                         queue.add(new Due(
                                 clock[0] + MS,
                                 clock[1]++,
-                                () -> module[0].on(clock[0], new Listed(ListKind.FAILED, 0, List.of()))));
+                                () -> module[0].onEvent(
+                                        clock[0], new EndpointsUpdated(EndpointUpdateKind.FAILED, 0, List.of()))));
                     }
                 });
-                module[0].on(clock[0], new Listed(ListKind.CACHED, 1, List.of()));
+                module[0].onEvent(clock[0], new EndpointsUpdated(EndpointUpdateKind.CACHED, 1, List.of()));
             }
-            while (clock[0] < 160 * Rig.S) {
+            while (clock[0] < 160 * LoadBalancerHarness.S) {
                 Due due = queue.poll();
                 clock[0] = due.at();
-                due.what().run();
-                int now = calls.getOrDefault(clock[0] / Rig.S, 0);
-                assertTrue(routers + " routers: " + now + " calls in second " + clock[0] / Rig.S, now <= 100);
+                due.callback().run();
+                int now = calls.getOrDefault(clock[0] / LoadBalancerHarness.S, 0);
+                assertTrue(
+                        instances + " routers: " + now + " calls in second " + clock[0] / LoadBalancerHarness.S,
+                        now <= 100);
             }
-            assertTrue(routers + " routers ask on", calls.getOrDefault(158L, 0) + calls.getOrDefault(159L, 0) > 0);
+            assertTrue(instances + " routers ask on", calls.getOrDefault(158L, 0) + calls.getOrDefault(159L, 0) > 0);
         }
     }
 
@@ -456,22 +516,23 @@
      * drained meanwhile.
      */
     @Test
-    public void aSilentWatchIsOpenedAnewBeforeWhatItMissesCountsAsTold() {
-        long now = 100 * Rig.S;
+    public void silentWatchIsReopenedBeforeItsMissedUpdatesCountAsNotified() {
+        long now = 100 * LoadBalancerHarness.S;
         long first = Long.MAX_VALUE;
         long last = 0;
         for (int i = 0; i < 100; i++) {
-            List<Balancer.Action> actions = new ArrayList<>();
-            Choice choice = new Choice(Rig.asking(100, i), i, actions::add);
-            choice.on(now, new Listed(ListKind.CACHED, 1, List.of()));
-            choice.on(now, new Listed(ListKind.DELTA, 1, List.of()));
+            List<LoadBalancer.LoadBalancerAction> actions = new ArrayList<>();
+            BoundedLoadBalancer loadBalancer =
+                    new BoundedLoadBalancer(LoadBalancerHarness.watchingSettings(100, i), i, actions::add);
+            loadBalancer.onEvent(now, new EndpointsUpdated(EndpointUpdateKind.CACHED, 1, List.of()));
+            loadBalancer.onEvent(now, new EndpointsUpdated(EndpointUpdateKind.DELTA, 1, List.of()));
             actions.clear();
-            choice.on(now, new Listed(ListKind.FAILED, 0, List.of()));
-            long at = ((Balancer.Timer) actions.get(0)).at() - now;
+            loadBalancer.onEvent(now, new EndpointsUpdated(EndpointUpdateKind.FAILED, 0, List.of()));
+            long at = ((LoadBalancer.SetTimer) actions.get(0)).dueAt() - now;
             first = Math.min(first, at);
             last = Math.max(last, at);
         }
-        assertTrue("not all at once: " + first + " to " + last, last - first > Rig.S);
-        assertTrue("after " + last, last <= 2 * Rig.S);
+        assertTrue("not all at once: " + first + " to " + last, last - first > LoadBalancerHarness.S);
+        assertTrue("after " + last, last <= 2 * LoadBalancerHarness.S);
     }
 }
--- a/node/src/test/java/fawnlb/policy/HashRingTest.java
+++ b/node/src/test/java/fawnlb/policy/HashRingTest.java
@@ -36,25 +36,26 @@
     private void assertSameAsSortedMap() {
         TreeMap<Long, Long> expected = new TreeMap<>();
         for (long id : members) {
-            for (int i = 0; i < HashRing.POINTS; i++) {
-                expected.put(Choice.mix(Choice.mix(id) + i), id);
+            for (int i = 0; i < HashRing.POINTS_PER_ENDPOINT; i++) {
+                expected.put(BoundedLoadBalancer.mix(BoundedLoadBalancer.mix(id) + i), id);
             }
         }
         assertEquals(expected.size(), ring.size());
         for (int i = 0; i < 500; i++) {
             long key = random.nextLong();
-            var at = expected.ceilingEntry(Choice.mix(key));
-            assertEquals((at == null ? expected.firstEntry() : at).getValue(), ring.server(ring.first(key)));
+            var at = expected.ceilingEntry(BoundedLoadBalancer.mix(key));
+            assertEquals(
+                    (at == null ? expected.firstEntry() : at).getValue(), ring.endpointAt(ring.firstIndexFor(key)));
         }
         List<Long> order = new ArrayList<>();
         for (int i = 0; i < ring.size(); i++) {
-            order.add(ring.server(i));
+            order.add(ring.endpointAt(i));
         }
         assertEquals(List.copyOf(expected.values()), order);
     }
 
     @Test
-    public void joinsAndLeavesKeepTheRingOfASortedMap() {
+    public void joinsAndDeparturesKeepTheOrderOfASortedMap() {
         add(1);
         assertSameAsSortedMap();
         add(60);
@@ -72,28 +73,28 @@
     }
 
     @Test
-    public void medianIsThatOfTheSortedValues() {
+    public void upperMedianMatchesSortedValues() {
         for (int count = 1; count < 200; count++) {
             double[] values = random.doubles(count).map(x -> Math.floor(x * 20)).toArray();
             double[] sorted = values.clone();
             Arrays.sort(sorted);
-            assertEquals(sorted[count / 2], Selection.upperMedian(Arrays.copyOf(values, count + 3), count), 0);
+            assertEquals(sorted[count / 2], OrderStatistics.upperMedian(Arrays.copyOf(values, count + 3), count), 0);
         }
     }
 
     @Test
-    public void recentRequestsSumTheWorkOfTheLastOnes() {
-        RecentRequests recent = new RecentRequests();
+    public void recentKeysSumTheWorkOfTheLastRequests() {
+        RecentKeys recent = new RecentKeys();
         for (int i = 0; i < 1000; i++) {
             recent.add(i % 4, 1 + i % 4, 400);
         }
         assertEquals(400, recent.size());
-        assertEquals(0.1, recent.part(0), 1e-9);
-        assertEquals(0.4, recent.part(3), 1e-9);
+        assertEquals(0.1, recent.workFraction(0), 1e-9);
+        assertEquals(0.4, recent.workFraction(3), 1e-9);
         for (int i = 0; i < 400; i++) {
             recent.add(9, 1, 400);
         }
-        assertEquals(1, recent.part(9), 1e-9);
-        assertTrue(recent.knows(9) && !recent.knows(3));
+        assertEquals(1, recent.workFraction(9), 1e-9);
+        assertTrue(recent.contains(9) && !recent.contains(3));
     }
 }
--- a/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
+++ b/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
@@ -2,23 +2,23 @@
 
 import static org.junit.Assert.assertEquals;
 
-import fawnlb.decision.Balancer;
-import fawnlb.decision.Balancer.Costs;
-import fawnlb.decision.Balancer.Discovery;
-import fawnlb.decision.Balancer.Effect;
-import fawnlb.decision.Balancer.Group;
-import fawnlb.decision.Balancer.Limits;
-import fawnlb.decision.Balancer.ListKind;
-import fawnlb.decision.Balancer.Outcome;
-import fawnlb.decision.Balancer.Phase;
-import fawnlb.decision.Balancer.Replica;
-import fawnlb.decision.Balancer.Reports;
-import fawnlb.decision.Balancer.Request;
-import fawnlb.decision.Balancer.RequestClass;
-import fawnlb.decision.Balancer.Rules;
-import fawnlb.decision.Balancer.Settings;
-import fawnlb.decision.Balancer.Tenant;
-import fawnlb.decision.Balancer.TimerDue;
+import fawnlb.decision.LoadBalancer;
+import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.LoadBalancer.Costs;
+import fawnlb.decision.LoadBalancer.DiscoveryMode;
+import fawnlb.decision.LoadBalancer.Endpoint;
+import fawnlb.decision.LoadBalancer.EndpointLifecycle;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import fawnlb.decision.LoadBalancer.Idempotency;
+import fawnlb.decision.LoadBalancer.IdempotencyScope;
+import fawnlb.decision.LoadBalancer.Limits;
+import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancer.LoadReporting;
+import fawnlb.decision.LoadBalancer.RequestArrived;
+import fawnlb.decision.LoadBalancer.RequestClass;
+import fawnlb.decision.LoadBalancer.Tenant;
+import fawnlb.decision.LoadBalancer.TimerFired;
 import fawnlb.policy.SimulatedHost.Behavior;
 import fawnlb.policy.SimulatedHost.Traffic;
 import java.util.List;
@@ -36,25 +36,25 @@
     private static final long MS = SimulatedHost.MS;
     private static final long S = SimulatedHost.S;
     private static final Limits LIMITS = new Limits(4, 1000, true, true, false, false, 2 * S);
-    private static final Rules RULES = new Rules(S, 10 * S, 0.3, 9 * S, 2.5, S);
+    private static final EndpointLifecycle RULES = new EndpointLifecycle(S, 10 * S, 0.3, 9 * S, 2.5, S);
     private static final Costs NO_COSTS = new Costs(0, 0);
     private static final Costs CROSSING_COSTS = new Costs(0.08, 0.05);
-    private static final RequestClass CHAT = requestClass(Effect.SAFE, Group.ALL);
+    private static final RequestClass CHAT = requestClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL);
 
-    private static RequestClass requestClass(Effect effect, Group group) {
+    private static RequestClass requestClass(Idempotency effect, IdempotencyScope group) {
         return new RequestClass(effect, group, 5 * S, S, 0, 4 * S, 0, 1, 0, true);
     }
 
-    private static Settings settings(
-            Discovery discovery, Costs costs, Limits limits, List<Tenant> tenants, RequestClass... classes) {
-        return new Settings(
+    private static LoadBalancerSettings settings(
+            DiscoveryMode discovery, Costs costs, Limits limits, List<Tenant> tenants, RequestClass... classes) {
+        return new LoadBalancerSettings(
                 0,
                 2,
                 0,
                 MS,
                 false,
                 discovery,
-                Reports.NONE,
+                LoadReporting.NONE,
                 List.of(),
                 List.of(classes),
                 tenants,
@@ -64,18 +64,18 @@
     }
 
     private static SimulatedHost host(long seed, RequestClass... classes) {
-        return new SimulatedHost(settings(Discovery.PUSHED, NO_COSTS, LIMITS, List.of(), classes), seed);
+        return new SimulatedHost(settings(DiscoveryMode.PUSHED, NO_COSTS, LIMITS, List.of(), classes), seed);
     }
 
     /** Zones 0 to 2 and kinds 0 and 1 by turns, two servers a cell. */
-    private static Replica endpoint(long id, Phase phase, long startedAt) {
-        return new Replica(id, phase, startedAt, 1, (int) (id % 3), (int) (id / 6), (int) (id % 2));
+    private static Endpoint endpoint(long id, EndpointPhase phase, long startedAt) {
+        return new Endpoint(id, phase, startedAt, 1, (int) (id % 3), (int) (id / 6), (int) (id % 2));
     }
 
-    private static Replica[] ready(int count) {
+    private static Endpoint[] ready(int count) {
         return LongStream.rangeClosed(1, count)
-                .mapToObj(id -> endpoint(id, Phase.READY, 0))
-                .toArray(Replica[]::new);
+                .mapToObj(id -> endpoint(id, EndpointPhase.READY, 0))
+                .toArray(Endpoint[]::new);
     }
 
     private static void behave(SimulatedHost host, int count, LongPredicate which, Behavior behavior) {
@@ -85,18 +85,28 @@
     @Test
     public void joinsDrainsAndDepartures() {
         SimulatedHost host = host(1, CHAT);
-        host.list(ListKind.FULL, ready(12));
+        host.list(EndpointUpdateKind.FULL, ready(12));
         host.play(10 * S, Traffic.steady(40));
-        host.list(ListKind.DELTA, endpoint(13, Phase.READY, host.now), endpoint(14, Phase.READY, 0));
+        host.list(
+                EndpointUpdateKind.DELTA,
+                endpoint(13, EndpointPhase.READY, host.now),
+                endpoint(14, EndpointPhase.READY, 0));
         host.play(10 * S, Traffic.steady(40));
         for (long id = 1; id <= 6; id++) {
-            host.list(ListKind.DELTA, endpoint(id, Phase.DRAINING, 0));
+            host.list(EndpointUpdateKind.DELTA, endpoint(id, EndpointPhase.DRAINING, 0));
             host.play(2 * S, Traffic.steady(40));
-            host.list(ListKind.DELTA, endpoint(id, Phase.GONE, 0), endpoint(20 + id, Phase.READY, host.now));
+            host.list(
+                    EndpointUpdateKind.DELTA,
+                    endpoint(id, EndpointPhase.GONE, 0),
+                    endpoint(20 + id, EndpointPhase.READY, host.now));
         }
         host.play(15 * S, Traffic.steady(40));
-        host.list(ListKind.DELTA, endpoint(2, Phase.GONE, 0), endpoint(3, Phase.READY, 0), endpoint(3, Phase.GONE, 0));
-        host.list(ListKind.FULL, ready(8));
+        host.list(
+                EndpointUpdateKind.DELTA,
+                endpoint(2, EndpointPhase.GONE, 0),
+                endpoint(3, EndpointPhase.READY, 0),
+                endpoint(3, EndpointPhase.GONE, 0));
+        host.list(EndpointUpdateKind.FULL, ready(8));
         host.play(10 * S, Traffic.steady(60));
         assertEquals("2467 5764d3897326930e50ebbb15fbb27c5301783057343d3df63023395d803cb97f", host.result());
     }
@@ -105,18 +115,18 @@
     public void replacementInTurnReleasesTheOldest() {
         SimulatedHost host = host(2, CHAT);
         long start = host.now - 60 * S;
-        Replica[] all = LongStream.rangeClosed(1, 14)
-                .mapToObj(id -> endpoint(id, Phase.READY, start + id * S))
-                .toArray(Replica[]::new);
-        host.list(ListKind.FULL, all);
+        Endpoint[] all = LongStream.rangeClosed(1, 14)
+                .mapToObj(id -> endpoint(id, EndpointPhase.READY, start + id * S))
+                .toArray(Endpoint[]::new);
+        host.list(EndpointUpdateKind.FULL, all);
         host.play(20 * S, Traffic.steady(60));
         for (long id = 1; id <= 8; id++) {
-            host.list(ListKind.DELTA, endpoint(id, Phase.DRAINING, start + id * S));
+            host.list(EndpointUpdateKind.DELTA, endpoint(id, EndpointPhase.DRAINING, start + id * S));
             host.play(3 * S, Traffic.steady(60));
             host.list(
-                    ListKind.DELTA,
-                    endpoint(id, Phase.GONE, start + id * S),
-                    endpoint(100 + id, Phase.READY, host.now));
+                    EndpointUpdateKind.DELTA,
+                    endpoint(id, EndpointPhase.GONE, start + id * S),
+                    endpoint(100 + id, EndpointPhase.READY, host.now));
             behave(host, 14, endpoint -> true, Behavior.healthy(100 * MS, (id < 5 ? 4 : 10) * MS));
         }
         host.play(12 * S, Traffic.steady(60));
@@ -126,19 +136,22 @@
     @Test
     public void restartsAndSlowStart() {
         SimulatedHost host = host(3, CHAT);
-        Replica[] cold = LongStream.rangeClosed(1, 4)
-                .mapToObj(id -> endpoint(id, Phase.READY, host.now - id * S))
-                .toArray(Replica[]::new);
-        host.list(ListKind.CACHED, cold);
+        Endpoint[] cold = LongStream.rangeClosed(1, 4)
+                .mapToObj(id -> endpoint(id, EndpointPhase.READY, host.now - id * S))
+                .toArray(Endpoint[]::new);
+        host.list(EndpointUpdateKind.CACHED, cold);
         host.play(6 * S, Traffic.steady(20));
-        host.list(ListKind.FULL, ready(9));
+        host.list(EndpointUpdateKind.FULL, ready(9));
         host.play(10 * S, Traffic.steady(30));
         for (long id = 1; id <= 9; id += 2) {
-            host.list(ListKind.DELTA, endpoint(id, Phase.GONE, 0));
+            host.list(EndpointUpdateKind.DELTA, endpoint(id, EndpointPhase.GONE, 0));
             host.play(S, Traffic.steady(40));
-            host.list(ListKind.DELTA, endpoint(id, Phase.READY, host.now - id * S));
+            host.list(EndpointUpdateKind.DELTA, endpoint(id, EndpointPhase.READY, host.now - id * S));
             host.play(2 * S, Traffic.steady(40));
-            host.list(ListKind.DELTA, endpoint(id, Phase.DRAINING, host.now), endpoint(id, Phase.READY, host.now));
+            host.list(
+                    EndpointUpdateKind.DELTA,
+                    endpoint(id, EndpointPhase.DRAINING, host.now),
+                    endpoint(id, EndpointPhase.READY, host.now));
         }
         host.play(20 * S, Traffic.steady(50));
         assertEquals("3028 2c10ace1a7be6d14f99f5f917930d8cadcea5fc9918d2280566ee4b9e42df4e4", host.result());
@@ -146,18 +159,18 @@
 
     @Test
     public void everyOutcomeOfAnAttempt() {
-        SimulatedHost host = host(4, CHAT, requestClass(Effect.UNSAFE, Group.ALL));
-        host.list(ListKind.FULL, ready(12));
+        SimulatedHost host = host(4, CHAT, requestClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL));
+        host.list(EndpointUpdateKind.FULL, ready(12));
         Traffic traffic = new Traffic(50, 40, 300, 0, 2, 1, 0.02);
-        for (Outcome outcome : new Outcome[] {
-            Outcome.ERROR,
-            Outcome.FULL,
-            Outcome.TIMEOUT,
-            Outcome.CONNECT_FAILED,
-            Outcome.RESET,
-            Outcome.NEVER_SENT,
-            Outcome.STALLED,
-            Outcome.CANCELLED
+        for (AttemptOutcome outcome : new AttemptOutcome[] {
+            AttemptOutcome.ERROR,
+            AttemptOutcome.FULL,
+            AttemptOutcome.TIMEOUT,
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.RESET,
+            AttemptOutcome.NEVER_SENT,
+            AttemptOutcome.STALLED,
+            AttemptOutcome.CANCELLED
         }) {
             behave(host, 12, id -> id <= 4, Behavior.failing(outcome, 0.7));
             host.play(4 * S, traffic);
@@ -172,25 +185,25 @@
     @Test
     public void zoneOutage() {
         SimulatedHost host = host(5, CHAT);
-        host.list(ListKind.FULL, ready(18));
+        host.list(EndpointUpdateKind.FULL, ready(18));
         host.play(5 * S, Traffic.steady(80));
-        behave(host, 18, id -> id % 3 == 1, Behavior.failing(Outcome.CONNECT_FAILED, 1));
+        behave(host, 18, id -> id % 3 == 1, Behavior.failing(AttemptOutcome.CONNECT_FAILED, 1));
         host.play(12 * S, Traffic.steady(80));
         behave(host, 18, id -> id % 3 == 1, Behavior.HEALTHY);
-        behave(host, 18, id -> id % 3 == 2, Behavior.failing(Outcome.CONNECT_FAILED, 0.5));
+        behave(host, 18, id -> id % 3 == 2, Behavior.failing(AttemptOutcome.CONNECT_FAILED, 0.5));
         host.play(8 * S, Traffic.steady(80));
         assertEquals("2144 311c3d8735f0cb242a85a04960a58d9a58ee204a1514f15cccc2302ef4013cd7", host.result());
     }
 
     @Test
     public void overloadAndSlowStreams() {
-        SimulatedHost host = host(6, CHAT, requestClass(Effect.SAFE, Group.ALL));
+        SimulatedHost host = host(6, CHAT, requestClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL));
         Traffic traffic = new Traffic(80, 40, 2000, 0, 2, 1, 0);
-        host.list(ListKind.FULL, ready(6));
+        host.list(EndpointUpdateKind.FULL, ready(6));
         host.play(8 * S, traffic);
         behave(host, 6, id -> true, Behavior.healthy(900 * MS, 4 * MS));
         host.play(8 * S, traffic);
-        behave(host, 6, id -> true, Behavior.failing(Outcome.FULL, 0.6));
+        behave(host, 6, id -> true, Behavior.failing(AttemptOutcome.FULL, 0.6));
         host.play(6 * S, traffic);
         behave(host, 6, id -> true, Behavior.healthy(100 * MS, 15 * MS));
         host.play(15 * S, traffic);
@@ -201,22 +214,29 @@
 
     @Test
     public void idempotencyOfEveryKindAndScope() {
-        RequestClass perToken =
-                new RequestClass(Effect.SAFE, Group.ALL, 0, 200 * MS, 0.5 * MS, 4 * S, 0, 2, 0.5, false);
-        RequestClass shortWindow = new RequestClass(Effect.KEYED, Group.ALL, 50 * MS, S, 0, 4 * S, 0, 1, 0, true);
+        RequestClass perToken = new RequestClass(
+                Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 0, 200 * MS, 0.5 * MS, 4 * S, 0, 2, 0.5, false);
+        RequestClass shortWindow = new RequestClass(
+                Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ALL, 50 * MS, S, 0, 4 * S, 0, 1, 0, true);
         SimulatedHost host = host(
                 7,
                 CHAT,
-                requestClass(Effect.KEYED, Group.ALL),
-                requestClass(Effect.KEYED, Group.ZONE),
-                requestClass(Effect.KEYED, Group.CELL),
-                requestClass(Effect.UNSAFE, Group.ALL),
+                requestClass(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ALL),
+                requestClass(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ZONE),
+                requestClass(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.CELL),
+                requestClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL),
                 perToken,
                 shortWindow);
         // Type 7 is one that the settings don't name.
         Traffic traffic = new Traffic(60, 40, 300, 0, 8, 1, 0.05);
-        host.list(ListKind.FULL, ready(18));
-        Outcome[] outcomes = {Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT};
+        host.list(EndpointUpdateKind.FULL, ready(18));
+        AttemptOutcome[] outcomes = {
+            AttemptOutcome.ERROR,
+            AttemptOutcome.FULL,
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.RESET,
+            AttemptOutcome.TIMEOUT
+        };
         for (int round = 0; round < 8; round++) {
             int shift = round;
             behave(host, 18, id -> true, Behavior.HEALTHY);
@@ -229,10 +249,10 @@
     @Test
     public void tenantsUnderOverload() {
         List<Tenant> tenants = List.of(new Tenant(0.6, 10), new Tenant(0.1, 10), new Tenant(0, 10));
-        SimulatedHost host = new SimulatedHost(settings(Discovery.PUSHED, NO_COSTS, LIMITS, tenants, CHAT), 8);
+        SimulatedHost host = new SimulatedHost(settings(DiscoveryMode.PUSHED, NO_COSTS, LIMITS, tenants, CHAT), 8);
         // Tenant 3 is one that the settings don't name.
         Traffic traffic = new Traffic(80, 40, 1000, 0, 1, 4, 0);
-        host.list(ListKind.FULL, ready(6));
+        host.list(EndpointUpdateKind.FULL, ready(6));
         host.play(6 * S, traffic);
         behave(host, 6, id -> id != 2, Behavior.healthy(950 * MS, 6 * MS));
         host.play(15 * S, traffic);
@@ -243,11 +263,12 @@
     public void clientsThatLeave() {
         for (boolean cancel : new boolean[] {true, false}) {
             Limits limits = new Limits(3, 1000, false, cancel, false, false, 0);
-            SimulatedHost host = new SimulatedHost(settings(Discovery.PUSHED, NO_COSTS, limits, List.of(), CHAT), 9);
+            SimulatedHost host =
+                    new SimulatedHost(settings(DiscoveryMode.PUSHED, NO_COSTS, limits, List.of(), CHAT), 9);
             Traffic traffic = new Traffic(60, 20, 300, 0.2, 1, 1, 0.5);
-            host.list(ListKind.FULL, ready(5));
+            host.list(EndpointUpdateKind.FULL, ready(5));
             behave(host, 5, id -> true, Behavior.healthy(400 * MS, 4 * MS));
-            behave(host, 5, id -> id == 3, Behavior.failing(Outcome.ERROR, 0.5));
+            behave(host, 5, id -> id == 3, Behavior.failing(AttemptOutcome.ERROR, 0.5));
             host.play(20 * S, traffic);
             assertEquals(
                     cancel
@@ -260,49 +281,54 @@
     @Test
     public void pushedListsOfEveryKind() {
         SimulatedHost host = host(10, CHAT);
-        host.list(ListKind.CACHED);
+        host.list(EndpointUpdateKind.CACHED);
         host.play(3 * S, Traffic.steady(20));
-        host.list(ListKind.CACHED, ready(4));
+        host.list(EndpointUpdateKind.CACHED, ready(4));
         host.play(3 * S, Traffic.steady(40));
-        for (ListKind kind : new ListKind[] {ListKind.FAILED, ListKind.CROWDED, ListKind.UNANSWERED}) {
+        for (EndpointUpdateKind kind : new EndpointUpdateKind[] {
+            EndpointUpdateKind.FAILED, EndpointUpdateKind.THROTTLED, EndpointUpdateKind.TIMED_OUT
+        }) {
             host.list(kind);
             host.play(S, Traffic.steady(40));
         }
         host.list(
-                ListKind.VIEW,
-                endpoint(2, Phase.DRAINING, 0),
-                endpoint(3, Phase.READY, 0).withRoom(1));
+                EndpointUpdateKind.FILTERED,
+                endpoint(2, EndpointPhase.DRAINING, 0),
+                endpoint(3, EndpointPhase.READY, 0).withCapacity(1));
         host.play(5 * S, Traffic.steady(40));
-        host.list(ListKind.VIEW, endpoint(2, Phase.READY, 0).withRoom(2), endpoint(3, Phase.READY, 0));
+        host.list(
+                EndpointUpdateKind.FILTERED,
+                endpoint(2, EndpointPhase.READY, 0).withCapacity(2),
+                endpoint(3, EndpointPhase.READY, 0));
         host.play(5 * S, Traffic.steady(40));
-        host.list(ListKind.FULL, endpoint(9, Phase.READY, 0).withRoom(0));
+        host.list(EndpointUpdateKind.FULL, endpoint(9, EndpointPhase.READY, 0).withCapacity(0));
         host.play(3 * S, Traffic.steady(20));
-        host.list(ListKind.FULL, ready(7));
+        host.list(EndpointUpdateKind.FULL, ready(7));
         host.play(5 * S, Traffic.steady(40));
         assertEquals("2187 501288f6f4c2ede51bc08c07904d3e23edac5081a60ea37b06cdb162caf51a1a", host.result());
     }
 
     @Test
     public void listsThatHaveToBeAskedFor() {
-        SimulatedHost host = new SimulatedHost(settings(Discovery.ASKED, NO_COSTS, LIMITS, List.of(), CHAT), 11);
+        SimulatedHost host = new SimulatedHost(settings(DiscoveryMode.WATCHED, NO_COSTS, LIMITS, List.of(), CHAT), 11);
         host.listed = List.of(ready(6));
         host.discoveryAnswers.addAll(List.of(
-                ListKind.FAILED,
-                ListKind.CROWDED,
-                ListKind.UNANSWERED,
-                ListKind.FAILED,
-                ListKind.FAILED,
-                ListKind.FULL,
-                ListKind.CROWDED,
-                ListKind.CROWDED));
-        host.list(ListKind.CACHED, ready(3));
+                EndpointUpdateKind.FAILED,
+                EndpointUpdateKind.THROTTLED,
+                EndpointUpdateKind.TIMED_OUT,
+                EndpointUpdateKind.FAILED,
+                EndpointUpdateKind.FAILED,
+                EndpointUpdateKind.FULL,
+                EndpointUpdateKind.THROTTLED,
+                EndpointUpdateKind.THROTTLED));
+        host.list(EndpointUpdateKind.CACHED, ready(3));
         host.play(25 * S, Traffic.steady(20));
-        host.list(ListKind.VIEW, endpoint(2, Phase.DRAINING, 0));
-        host.list(ListKind.FAILED);
+        host.list(EndpointUpdateKind.FILTERED, endpoint(2, EndpointPhase.DRAINING, 0));
+        host.list(EndpointUpdateKind.FAILED);
         host.play(10 * S, Traffic.steady(20));
-        host.tell(new TimerDue(0));
-        host.list(ListKind.UNANSWERED);
-        host.tell(new TimerDue(0));
+        host.tell(new TimerFired(0));
+        host.list(EndpointUpdateKind.TIMED_OUT);
+        host.tell(new TimerFired(0));
         host.play(10 * S, Traffic.steady(20));
         assertEquals("916 762cae830f3c2e9edb765c65811aecbadededda0ae4c7809ccc45d510a699cda", host.result());
     }
@@ -310,7 +336,7 @@
     @Test
     public void hotPrefixes() {
         SimulatedHost host = host(12, CHAT);
-        host.list(ListKind.FULL, ready(40));
+        host.list(EndpointUpdateKind.FULL, ready(40));
         for (double hotPart : new double[] {0.05, 0.3, 0.8, 0}) {
             host.play(8 * S, new Traffic(100, 200, 500, hotPart, 1, 1, 0));
         }
@@ -319,18 +345,19 @@
 
     @Test
     public void keysThatStayInTheirZone() {
-        SimulatedHost host = new SimulatedHost(settings(Discovery.PUSHED, CROSSING_COSTS, LIMITS, List.of(), CHAT), 13);
-        host.list(ListKind.FULL, ready(12));
+        SimulatedHost host =
+                new SimulatedHost(settings(DiscoveryMode.PUSHED, CROSSING_COSTS, LIMITS, List.of(), CHAT), 13);
+        host.list(EndpointUpdateKind.FULL, ready(12));
         host.play(10 * S, Traffic.steady(60));
-        behave(host, 12, id -> id % 3 == 0, Behavior.failing(Outcome.CONNECT_FAILED, 0.6));
+        behave(host, 12, id -> id % 3 == 0, Behavior.failing(AttemptOutcome.CONNECT_FAILED, 0.6));
         host.play(6 * S, Traffic.steady(60));
         host.list(
-                ListKind.FULL,
-                endpoint(3, Phase.READY, host.now),
-                endpoint(6, Phase.READY, 0),
-                endpoint(9, Phase.READY, 0));
+                EndpointUpdateKind.FULL,
+                endpoint(3, EndpointPhase.READY, host.now),
+                endpoint(6, EndpointPhase.READY, 0),
+                endpoint(9, EndpointPhase.READY, 0));
         host.play(6 * S, Traffic.steady(40));
-        host.list(ListKind.FULL, endpoint(1, Phase.READY, 0), endpoint(2, Phase.READY, 0));
+        host.list(EndpointUpdateKind.FULL, endpoint(1, EndpointPhase.READY, 0), endpoint(2, EndpointPhase.READY, 0));
         host.play(6 * S, Traffic.steady(20));
         assertEquals("2455 ca13dfc911a2874140f120aacc233319ee8fb4eb68e345fb9ec4ff508c12dfd8", host.result());
     }
@@ -338,7 +365,7 @@
     @Test
     public void saturationWidensTheBound() {
         SimulatedHost host = host(14, CHAT);
-        host.list(ListKind.FULL, ready(4));
+        host.list(EndpointUpdateKind.FULL, ready(4));
         behave(host, 4, id -> true, Behavior.healthy(100 * MS, 30 * MS));
         host.play(20 * S, new Traffic(30, 5, 6, 0, 1, 1, 0));
         behave(host, 4, id -> true, Behavior.HEALTHY);
@@ -349,11 +376,11 @@
     @Test
     public void slowKindsAndSlowEndpoints() {
         SimulatedHost host = host(15, CHAT);
-        host.list(ListKind.FULL, ready(20));
+        host.list(EndpointUpdateKind.FULL, ready(20));
         behave(host, 20, id -> id % 2 == 1, Behavior.healthy(150 * MS, 9 * MS));
         host.play(20 * S, Traffic.steady(60));
         behave(host, 20, id -> id == 4, Behavior.healthy(1500 * MS, 20 * MS));
-        behave(host, 20, id -> id == 5, Behavior.failing(Outcome.TIMEOUT, 1));
+        behave(host, 20, id -> id == 5, Behavior.failing(AttemptOutcome.TIMEOUT, 1));
         host.play(15 * S, Traffic.steady(60));
         behave(host, 20, id -> true, Behavior.healthy(600 * MS, 4 * MS));
         host.play(10 * S, Traffic.steady(60));
@@ -363,13 +390,13 @@
     @Test
     public void malformedAndUnknownEvents() {
         SimulatedHost host = host(16, CHAT);
-        host.list(ListKind.FULL, ready(6));
+        host.list(EndpointUpdateKind.FULL, ready(6));
         double[] odd = {Double.NaN, Double.POSITIVE_INFINITY, -5, 0, 1e12};
         long id = 1_000_000;
         for (int round = 0; round < 40; round++) {
             for (double tokens : odd) {
                 long expires = new long[] {0, -1, Long.MAX_VALUE, 50 * MS}[round % 4];
-                host.arrive(new Request(
+                host.arrive(new RequestArrived(
                         ++id,
                         round % 3 - 1,
                         round - 5,
@@ -384,14 +411,14 @@
                         true,
                         true));
             }
-            host.tell(new Balancer.Ended(id, 3, 1, Outcome.SERVED, true, 1, 0, List.of()));
-            host.tell(new Balancer.Started(id, 3, 1, 1));
-            host.tell(new Balancer.Ended(5, 0, 1, Outcome.SERVED, true, 1, 0, List.of()));
-            host.tell(new Balancer.Started(5, 0, 1, 1));
-            host.tell(new Balancer.ClientGone(5));
-            host.tell(new Balancer.PeerMessage(1, new byte[3]));
-            host.tell(new Balancer.Probed(1, Outcome.SERVED, 1, List.of(Double.NaN)));
-            host.tell(new TimerDue(-7));
+            host.tell(new LoadBalancer.AttemptEnded(id, 3, 1, AttemptOutcome.SERVED, true, 1, 0, List.of()));
+            host.tell(new LoadBalancer.ResponseStarted(id, 3, 1, 1));
+            host.tell(new LoadBalancer.AttemptEnded(5, 0, 1, AttemptOutcome.SERVED, true, 1, 0, List.of()));
+            host.tell(new LoadBalancer.ResponseStarted(5, 0, 1, 1));
+            host.tell(new LoadBalancer.ClientDisconnected(5));
+            host.tell(new LoadBalancer.PeerMessage(1, new byte[3]));
+            host.tell(new LoadBalancer.HealthChecked(1, AttemptOutcome.SERVED, 1, List.of(Double.NaN)));
+            host.tell(new TimerFired(-7));
             host.play(100 * MS, Traffic.steady(100));
         }
         host.pass(10 * S);
@@ -402,20 +429,20 @@
     public void randomFaultsAndListChanges() {
         SimulatedHost host = new SimulatedHost(
                 settings(
-                        Discovery.ASKED,
+                        DiscoveryMode.WATCHED,
                         CROSSING_COSTS,
                         LIMITS,
                         List.of(new Tenant(0.5, 10), new Tenant(0.5, 10)),
                         CHAT,
-                        requestClass(Effect.KEYED, Group.ZONE),
-                        requestClass(Effect.UNSAFE, Group.ALL)),
+                        requestClass(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ZONE),
+                        requestClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL)),
                 17);
         host.listed = List.of(ready(24));
-        host.list(ListKind.FULL, ready(24));
+        host.list(EndpointUpdateKind.FULL, ready(24));
         SplittableRandom random = new SplittableRandom(170);
         for (int round = 0; round < 60; round++) {
             long id = 1 + random.nextInt(30);
-            Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length)];
+            AttemptOutcome outcome = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
             host.behaviors.put(
                     id,
                     random.nextInt(3) == 0
@@ -424,8 +451,8 @@
                                     ? Behavior.failing(outcome, 0.6)
                                     : Behavior.failingMidStream(outcome, 0.4));
             host.behaviors.put(1 + id % 24, Behavior.healthy(random.nextLong(S), random.nextLong(12 * MS)));
-            Phase phase = Phase.values()[random.nextInt(3)];
-            ListKind kind = random.nextInt(6) == 0 ? ListKind.FAILED : ListKind.DELTA;
+            EndpointPhase phase = EndpointPhase.values()[random.nextInt(3)];
+            EndpointUpdateKind kind = random.nextInt(6) == 0 ? EndpointUpdateKind.FAILED : EndpointUpdateKind.DELTA;
             host.list(kind, endpoint(id, phase, random.nextBoolean() ? 0 : host.now - random.nextLong(10 * S)));
             host.play(800 * MS, new Traffic(40 + random.nextInt(80), 60, 400, random.nextDouble() / 2, 4, 3, 0.1));
         }
--- /dev/null
+++ b/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
@@ -0,0 +1,334 @@
+package fawnlb.policy;
+
+import static fawnlb.policy.LoadBalancerHarness.S;
+import static fawnlb.policy.LoadBalancerHarness.endpoint;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import fawnlb.decision.LoadBalancer;
+import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.LoadBalancer.Costs;
+import fawnlb.decision.LoadBalancer.DiscoveryMode;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import fawnlb.decision.LoadBalancer.FailRequest;
+import fawnlb.decision.LoadBalancer.Idempotency;
+import fawnlb.decision.LoadBalancer.IdempotencyScope;
+import fawnlb.decision.LoadBalancer.RejectRequest;
+import fawnlb.decision.LoadBalancer.RequestArrived;
+import fawnlb.decision.LoadBalancer.StartAttempt;
+import fawnlb.decision.LoadBalancer.TimerFired;
+import fawnlb.decision.LoadBalancer.WatchEndpoints;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+
+class RequestLifecycleTest {
+    /** Ends the only attempt of a new request so, and gives the module. */
+    private static LoadBalancerHarness after(Idempotency effect, IdempotencyScope group, AttemptOutcome outcome) {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.settings(effect, group)).withReadyEndpoints(6);
+        harness.arrive(0, 9);
+        harness.endAttempt(harness.lastAttempt(), 0, outcome, false);
+        return harness;
+    }
+
+    @Test
+    void idempotentRequestsAreRetriedOnAnotherEndpoint() {
+        List<StartAttempt> sends = after(Idempotency.IDEMPOTENT, IdempotencyScope.ALL, AttemptOutcome.ERROR)
+                .startedAttempts();
+        assertEquals(2, sends.size());
+        assertNotEquals(sends.get(0).endpointId(), sends.get(1).endpointId());
+    }
+
+    @Test
+    void nonIdempotentRequestsThatMayHaveRunFailWithoutRetry() {
+        LoadBalancerHarness harness = after(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL, AttemptOutcome.RESET);
+        assertEquals(1, harness.startedAttempts().size());
+        assertEquals(1, harness.actionsOf(FailRequest.class).size());
+        assertEquals(0, harness.actionsOf(RejectRequest.class).size());
+    }
+
+    @Test
+    void nonIdempotentRequestsThatNeverRanAreRetried() {
+        assertEquals(
+                2,
+                after(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL, AttemptOutcome.FULL)
+                        .startedAttempts()
+                        .size());
+    }
+
+    @Test
+    void requestsWithIdempotencyKeysAreRetriedWithinTheirScope() {
+        LoadBalancerHarness zone = after(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ZONE, AttemptOutcome.ERROR);
+        assertEquals(2, zone.startedAttempts().size());
+        assertEquals(
+                zone.startedAttempts().get(0).endpointId() % 3,
+                zone.startedAttempts().get(1).endpointId() % 3);
+        LoadBalancerHarness cell = after(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.CELL, AttemptOutcome.ERROR);
+        assertEquals(1, cell.startedAttempts().size());
+        assertEquals(1, cell.actionsOf(FailRequest.class).size());
+    }
+
+    @Test
+    void requestsWithIdempotencyKeysAreNotRetriedAfterTheirWindow() {
+        LoadBalancerHarness harness = new LoadBalancerHarness(
+                        LoadBalancerHarness.settings(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ALL))
+                .withReadyEndpoints(6);
+        harness.arrive(0, 9);
+        harness.now += 5 * S;
+        harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.ERROR, false);
+        assertEquals(1, harness.startedAttempts().size());
+        assertEquals(1, harness.actionsOf(RejectRequest.class).size());
+    }
+
+    @Test
+    void unknownRequestClassesAreNotIdempotent() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(3);
+        harness.loadBalancer.onEvent(
+                harness.now, new RequestArrived(1, 9, 0, 1, 0, S, 0, 1, 0, 1, false, false, false));
+        harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.ERROR, false);
+        assertEquals(1, harness.startedAttempts().size());
+        assertEquals(1, harness.actionsOf(FailRequest.class).size());
+    }
+
+    @Test
+    void requestIsRejectedOnceOnTimeout() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(6);
+        harness.arrive(0, 9);
+        harness.now += 4 * S;
+        harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.TIMEOUT, false);
+        assertEquals(1, harness.startedAttempts().size());
+        assertEquals(1, harness.actionsOf(RejectRequest.class).size());
+        harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.TIMEOUT, true);
+        assertEquals(1, harness.actionsOf(RejectRequest.class).size());
+    }
+
+    @Test
+    void finishedRequestsAreNotRetried() {
+        assertEquals(1, endOver().startedAttempts().size());
+        assertEquals(0, endOver().actionsOf(RejectRequest.class).size());
+    }
+
+    private static LoadBalancerHarness endOver() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(6);
+        harness.arrive(0, 9);
+        harness.startResponse(harness.lastAttempt(), 0, 1000);
+        harness.now += 20 * S;
+        harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.RESET, true);
+        return harness;
+    }
+
+    @Test
+    void requestIsQueuedWithoutEndpointsAndRejectedBeforeItsDeadline() {
+        LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings())
+                .updateEndpoints(EndpointUpdateKind.CACHED);
+        harness.arrive(1, 2);
+        assertEquals(1, harness.actionsOf(LoadBalancer.SetTimer.class).size());
+        long end = harness.now + 4 * S;
+        while (harness.actionsOf(RejectRequest.class).isEmpty() && harness.now < end) {
+            LoadBalancer.SetTimer timer = harness.actionsOf(LoadBalancer.SetTimer.class)
+                    .get(harness.actionsOf(LoadBalancer.SetTimer.class).size() - 1);
+            harness.now = timer.dueAt();
+            harness.loadBalancer.onEvent(harness.now, new TimerFired(timer.token()));
+        }
+        assertEquals(1, harness.actionsOf(RejectRequest.class).size());
+        assertTrue(harness.now < end);
+    }
+
+    @Test
+    void queuedRequestIsStartedWhenAnEndpointJoins() {
+        LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings())
+                .updateEndpoints(EndpointUpdateKind.CACHED, endpoint(1, EndpointPhase.DRAINING, 0, 0));
+        harness.arrive(1, 2);
+        assertEquals(0, harness.startedAttempts().size());
+        harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(2, EndpointPhase.READY, 0, 0));
+        assertEquals(2, harness.lastAttempt().endpointId());
+    }
+
+    @Test
+    void malformedNumbersLoseNoRequest() {
+        for (double odd : new double[] {Double.NaN, Double.POSITIVE_INFINITY, -5, 0}) {
+            for (long expires : new long[] {0, -1, Long.MAX_VALUE}) {
+                LoadBalancerHarness harness =
+                        new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(2);
+                harness.loadBalancer.onEvent(
+                        harness.now, new RequestArrived(1, 0, 99, 0, 0, expires, -3, odd, odd, odd, true, true, true));
+                assertEquals(
+                        1,
+                        harness.startedAttempts().size()
+                                + harness.actionsOf(RejectRequest.class).size());
+            }
+        }
+    }
+
+    @Test
+    void eventsOfUnknownRequestsAreIgnored() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(2);
+        StartAttempt stranger = new StartAttempt(55, 1, 0);
+        harness.endAttempt(stranger, 0, AttemptOutcome.SERVED, true);
+        harness.startResponse(stranger, 3, 1);
+        harness.loadBalancer.onEvent(harness.now, new LoadBalancer.ClientDisconnected(55));
+        harness.loadBalancer.onEvent(harness.now, new TimerFired(-7));
+        harness.loadBalancer.onEvent(harness.now, new LoadBalancer.PeerMessage(1, new byte[3]));
+        harness.loadBalancer.onEvent(
+                harness.now, new LoadBalancer.HealthChecked(1, AttemptOutcome.SERVED, 1, List.of(Double.NaN)));
+        assertEquals(List.of(), harness.actions);
+    }
+
+    @Test
+    void retriesStayWithinTheBudget() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(30);
+        int tries = 200;
+        for (int i = 0; i < tries; i++) {
+            long id = harness.arrive(0, 1000 + i);
+            for (int attempt = 0; harness.lastAttempt().requestId() == id && attempt < 4; attempt++) {
+                int before = harness.startedAttempts().size();
+                harness.endAttempt(harness.lastAttempt(), attempt, AttemptOutcome.FULL, false);
+                if (harness.startedAttempts().size() == before) {
+                    break;
+                }
+            }
+        }
+        assertTrue(harness.startedAttempts().size()
+                <= tries * (1 + BoundedLoadBalancer.RETRY_PART) + BoundedLoadBalancer.RETRY_BURST);
+    }
+
+    @Test
+    void lostWatchIsReopenedOnceAtATime() {
+        LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.settings(
+                        Idempotency.IDEMPOTENT, IdempotencyScope.ALL, DiscoveryMode.WATCHED, new Costs(0, 0)))
+                .updateEndpoints(EndpointUpdateKind.CACHED, endpoint(1, EndpointPhase.READY, 0, 0));
+        fireLastTimer(harness);
+        harness.loadBalancer.onEvent(harness.now, new TimerFired(0));
+        assertEquals(1, harness.actionsOf(WatchEndpoints.class).size());
+        harness.updateEndpoints(EndpointUpdateKind.FAILED);
+        fireLastTimer(harness);
+        assertEquals(2, harness.actionsOf(WatchEndpoints.class).size());
+        harness.updateEndpoints(EndpointUpdateKind.DELTA);
+        fireLastTimer(harness);
+        assertEquals(2, harness.actionsOf(WatchEndpoints.class).size());
+    }
+
+    @Test
+    void unansweredWatchCallIsRepeated() {
+        LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.settings(
+                        Idempotency.IDEMPOTENT, IdempotencyScope.ALL, DiscoveryMode.WATCHED, new Costs(0, 0)))
+                .updateEndpoints(EndpointUpdateKind.CACHED, endpoint(1, EndpointPhase.READY, 0, 0));
+        fireLastTimer(harness);
+        fireLastTimer(harness);
+        assertEquals(2, harness.actionsOf(WatchEndpoints.class).size());
+    }
+
+    @Test
+    void pushedEndpointsAreNotWatched() {
+        LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings())
+                .updateEndpoints(EndpointUpdateKind.CACHED, endpoint(1, EndpointPhase.READY, 0, 0));
+        assertEquals(List.of(), harness.actions);
+    }
+
+    @Test
+    void clientDisconnectCancelsItsAttemptOnlyWhereAllowed() {
+        LoadBalancer.LoadBalancerSettings base = LoadBalancerHarness.idempotentSettings();
+        for (boolean allowed : new boolean[] {true, false}) {
+            LoadBalancer.Limits limits = new LoadBalancer.Limits(4, 1000, false, allowed, false, false, 0);
+            LoadBalancerHarness harness = new LoadBalancerHarness(new LoadBalancer.LoadBalancerSettings(
+                            0,
+                            1,
+                            0,
+                            LoadBalancerHarness.MS,
+                            false,
+                            base.discoveryMode(),
+                            base.loadReporting(),
+                            List.of(),
+                            base.requestClasses(),
+                            List.of(),
+                            limits,
+                            base.endpointLifecycle(),
+                            base.costs()))
+                    .withReadyEndpoints(4);
+            long id = harness.arrive(0, 5);
+            harness.loadBalancer.onEvent(harness.now, new LoadBalancer.ClientDisconnected(id));
+            assertEquals(
+                    allowed ? 1 : 0,
+                    harness.actionsOf(LoadBalancer.CancelAttempt.class).size());
+            harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.CANCELLED, true);
+            assertEquals(1, harness.startedAttempts().size());
+        }
+    }
+
+    @Test
+    void endpointRestartedUnderItsIdIsInSlowStartAgain() {
+        LoadBalancerHarness harness =
+                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(3);
+        long home = harness.primaryEndpoint(4);
+        harness.updateEndpoints(
+                EndpointUpdateKind.DELTA, endpoint(home, EndpointPhase.READY, harness.now, (int) (home % 3)));
+        assertNotEquals(home, harness.primaryEndpoint(4));
+        harness.now += 10 * S;
+        assertEquals(home, harness.primaryEndpoint(4));
+    }
+
+    @Test
+    void randomEventOrdersKeepOneAttemptAndOneFinalAnswer() {
+        AttemptOutcome[] outcomes = AttemptOutcome.values();
+        for (long seed = 0; seed < 30; seed++) {
+            SplittableRandom random = new SplittableRandom(seed);
+            LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.settings(
+                            Idempotency.values()[(int) (seed % 3)], IdempotencyScope.values()[(int) (seed / 3 % 3)]))
+                    .withReadyEndpoints(8);
+            for (int i = 0; i < 200; i++) {
+                harness.now += random.nextInt(50) * LoadBalancerHarness.MS;
+                if (random.nextInt(5) == 0) {
+                    EndpointPhase phase = EndpointPhase.values()[random.nextInt(3)];
+                    harness.updateEndpoints(
+                            EndpointUpdateKind.DELTA,
+                            endpoint(1 + random.nextInt(8), phase, harness.now, random.nextInt(3)));
+                    harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(20, EndpointPhase.READY, 0, 0));
+                }
+                long id = harness.arrive(random.nextInt(4), random.nextInt(9));
+                long end = harness.now + 4 * S;
+                while (attempts(harness, id) == 0 && finalAnswers(harness, id) == 0 && harness.now < end) {
+                    harness.now += 5 * LoadBalancerHarness.MS;
+                    harness.loadBalancer.onEvent(harness.now, new TimerFired(1));
+                }
+                boolean served = false;
+                for (int attempt = 0; attempt < attempts(harness, id); attempt++) {
+                    assertEquals(attempt + 1, attempts(harness, id));
+                    AttemptOutcome outcome = outcomes[random.nextInt(outcomes.length)];
+                    served |= outcome == AttemptOutcome.SERVED;
+                    harness.endAttempt(harness.lastAttempt(), attempt, outcome, served);
+                }
+                assertEquals(1, finalAnswers(harness, id) + (served ? 1 : 0), "seed " + seed + " request " + id);
+                assertTrue(harness.now < end);
+            }
+        }
+    }
+
+    private static long finalAnswers(LoadBalancerHarness harness, long id) {
+        return harness.actions.stream()
+                .filter(a -> a instanceof RejectRequest r && r.requestId() == id
+                        || a instanceof FailRequest f && f.requestId() == id)
+                .count();
+    }
+
+    private static int attempts(LoadBalancerHarness harness, long id) {
+        return (int) harness.startedAttempts().stream()
+                .filter(send -> send.requestId() == id)
+                .count();
+    }
+
+    private static void fireLastTimer(LoadBalancerHarness harness) {
+        LoadBalancer.SetTimer timer = harness.actionsOf(LoadBalancer.SetTimer.class)
+                .get(harness.actionsOf(LoadBalancer.SetTimer.class).size() - 1);
+        assertTrue(timer.dueAt() <= harness.now + 5 * S);
+        harness.now = Math.max(harness.now, timer.dueAt());
+        harness.loadBalancer.onEvent(harness.now, new TimerFired(timer.token()));
+    }
+}
--- a/node/src/test/java/fawnlb/policy/SimulatedHost.java
+++ b/node/src/test/java/fawnlb/policy/SimulatedHost.java
@@ -1,23 +1,23 @@
 package fawnlb.policy;
 
-import fawnlb.decision.Balancer.Action;
-import fawnlb.decision.Balancer.Cancel;
-import fawnlb.decision.Balancer.ClientGone;
-import fawnlb.decision.Balancer.Ended;
-import fawnlb.decision.Balancer.Event;
-import fawnlb.decision.Balancer.Fail;
-import fawnlb.decision.Balancer.ListKind;
-import fawnlb.decision.Balancer.Listed;
-import fawnlb.decision.Balancer.Outcome;
-import fawnlb.decision.Balancer.Refuse;
-import fawnlb.decision.Balancer.Replica;
-import fawnlb.decision.Balancer.Request;
-import fawnlb.decision.Balancer.Send;
-import fawnlb.decision.Balancer.Settings;
-import fawnlb.decision.Balancer.Started;
-import fawnlb.decision.Balancer.Subscribe;
-import fawnlb.decision.Balancer.Timer;
-import fawnlb.decision.Balancer.TimerDue;
+import fawnlb.decision.LoadBalancer.AttemptEnded;
+import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.LoadBalancer.CancelAttempt;
+import fawnlb.decision.LoadBalancer.ClientDisconnected;
+import fawnlb.decision.LoadBalancer.Endpoint;
+import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import fawnlb.decision.LoadBalancer.EndpointsUpdated;
+import fawnlb.decision.LoadBalancer.FailRequest;
+import fawnlb.decision.LoadBalancer.LoadBalancerAction;
+import fawnlb.decision.LoadBalancer.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancer.RejectRequest;
+import fawnlb.decision.LoadBalancer.RequestArrived;
+import fawnlb.decision.LoadBalancer.ResponseStarted;
+import fawnlb.decision.LoadBalancer.SetTimer;
+import fawnlb.decision.LoadBalancer.StartAttempt;
+import fawnlb.decision.LoadBalancer.TimerFired;
+import fawnlb.decision.LoadBalancer.WatchEndpoints;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -40,20 +40,20 @@
     record Behavior(
             long firstTokenNanos,
             long nanosPerToken,
-            Outcome failure,
+            AttemptOutcome failure,
             double failureProbability,
             boolean failsMidStream) {
         static final Behavior HEALTHY = healthy(100 * MS, 4 * MS);
 
         static Behavior healthy(long firstTokenNanos, long nanosPerToken) {
-            return new Behavior(firstTokenNanos, nanosPerToken, Outcome.SERVED, 0, false);
+            return new Behavior(firstTokenNanos, nanosPerToken, AttemptOutcome.SERVED, 0, false);
         }
 
-        static Behavior failing(Outcome outcome, double probability) {
+        static Behavior failing(AttemptOutcome outcome, double probability) {
             return new Behavior(100 * MS, 4 * MS, outcome, probability, false);
         }
 
-        static Behavior failingMidStream(Outcome outcome, double probability) {
+        static Behavior failingMidStream(AttemptOutcome outcome, double probability) {
             return new Behavior(100 * MS, 4 * MS, outcome, probability, true);
         }
     }
@@ -76,11 +76,11 @@
 
     /** An attempt that has not ended yet. */
     private static final class Running {
-        final Send send;
+        final StartAttempt send;
         final int number;
         boolean ended;
 
-        Running(Send send, int number) {
+        Running(StartAttempt send, int number) {
             this.send = send;
             this.number = number;
         }
@@ -88,11 +88,11 @@
 
     /** A request and its attempts so far. */
     private static final class Exchange {
-        final Request request;
+        final RequestArrived request;
         final List<Running> attempts = new ArrayList<>();
         boolean answered;
 
-        Exchange(Request request) {
+        Exchange(RequestArrived request) {
             this.request = request;
         }
     }
@@ -102,13 +102,13 @@
     final SplittableRandom random;
     final Map<Long, Behavior> behaviors = new HashMap<>();
     /** How discovery answers the next calls; after the last of them it answers with the whole list. */
-    final Deque<ListKind> discoveryAnswers = new ArrayDeque<>();
+    final Deque<EndpointUpdateKind> discoveryAnswers = new ArrayDeque<>();
 
-    List<Replica> listed = List.of();
+    List<Endpoint> listed = List.of();
     long now = 100 * S;
 
-    private final Settings settings;
-    private final Choice module;
+    private final LoadBalancerSettings settings;
+    private final BoundedLoadBalancer module;
     private final ActionDigest digest = new ActionDigest();
     private final PriorityQueue<Due> queue =
             new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
@@ -116,22 +116,22 @@
     private long order;
     private long requestId;
 
-    SimulatedHost(Settings settings, long seed) {
+    SimulatedHost(LoadBalancerSettings settings, long seed) {
         this.settings = settings;
         random = new SplittableRandom(seed);
-        module = new Choice(settings, seed, this::act);
+        module = new BoundedLoadBalancer(settings, seed, this::act);
     }
 
     String result() {
         return digest.result();
     }
 
-    void tell(Event event) {
-        module.on(now, event);
+    void tell(LoadBalancerEvent event) {
+        module.onEvent(now, event);
     }
 
-    void list(ListKind kind, Replica... entries) {
-        tell(new Listed(kind, 1, List.of(entries)));
+    void list(EndpointUpdateKind kind, Endpoint... entries) {
+        tell(new EndpointsUpdated(kind, 1, List.of(entries)));
     }
 
     void after(long nanos, Runnable what) {
@@ -169,7 +169,7 @@
         long prefix = random.nextDouble() < traffic.hotPart() ? 77 : prefix(traffic);
         int type = FIRST_TYPE + random.nextInt(traffic.types());
         int promptTokens = 50 + random.nextInt(2000);
-        arrive(new Request(
+        arrive(new RequestArrived(
                 ++requestId,
                 type,
                 random.nextInt(traffic.tenants()),
@@ -194,8 +194,8 @@
         return number == 0 ? 0 : 1000L + number * 7919L;
     }
 
-    void arrive(Request request) {
-        exchanges.put(request.id(), new Exchange(request));
+    void arrive(RequestArrived request) {
+        exchanges.put(request.requestId(), new Exchange(request));
         tell(request);
     }
 
@@ -203,50 +203,50 @@
         Exchange exchange = exchanges.get(id);
         if (exchange != null) {
             exchange.answered = true;
-            tell(new ClientGone(id));
+            tell(new ClientDisconnected(id));
         }
     }
 
     // ---- Actions --------------------------------------------------------------------------------------
 
-    private void act(Action action) {
+    private void act(LoadBalancerAction action) {
         digest.add(now, action);
-        if (action instanceof Send send) {
+        if (action instanceof StartAttempt send) {
             start(send);
-        } else if (action instanceof Cancel cancel) {
-            Running attempt = exchanges.get(cancel.request()).attempts.get(cancel.attempt());
-            after(MS, () -> end(attempt, Outcome.CANCELLED, 0, true));
-        } else if (action instanceof Refuse reject) {
-            answer(reject.request(), true);
-        } else if (action instanceof Fail fail) {
-            answer(fail.request(), false);
-        } else if (action instanceof Timer timer) {
-            after(Math.max(0, timer.at() - now), () -> tell(new TimerDue(timer.token())));
-        } else if (action instanceof Subscribe) {
+        } else if (action instanceof CancelAttempt cancel) {
+            Running attempt = exchanges.get(cancel.requestId()).attempts.get(cancel.attempt());
+            after(MS, () -> end(attempt, AttemptOutcome.CANCELLED, 0, true));
+        } else if (action instanceof RejectRequest reject) {
+            answer(reject.requestId(), true);
+        } else if (action instanceof FailRequest fail) {
+            answer(fail.requestId(), false);
+        } else if (action instanceof SetTimer timer) {
+            after(Math.max(0, timer.dueAt() - now), () -> tell(new TimerFired(timer.token())));
+        } else if (action instanceof WatchEndpoints) {
             answerSubscription();
         }
     }
 
     private void answerSubscription() {
-        ListKind kind = discoveryAnswers.isEmpty() ? ListKind.FULL : discoveryAnswers.poll();
-        long delay = kind == ListKind.CROWDED || kind == ListKind.UNANSWERED ? S : MS;
-        after(delay, () -> tell(new Listed(kind, 1, kind.failed() ? List.of() : listed)));
+        EndpointUpdateKind kind = discoveryAnswers.isEmpty() ? EndpointUpdateKind.FULL : discoveryAnswers.poll();
+        long delay = kind == EndpointUpdateKind.THROTTLED || kind == EndpointUpdateKind.TIMED_OUT ? S : MS;
+        after(delay, () -> tell(new EndpointsUpdated(kind, 1, kind.isFailure() ? List.of() : listed)));
     }
 
     /** The final answer to a request; half of the clients that are rejected come again. */
     private void answer(long id, boolean comesAgain) {
         Exchange exchange = exchanges.get(id);
         exchange.answered = true;
-        if (comesAgain && !exchange.request.repeat() && random.nextBoolean()) {
-            Request first = exchange.request;
+        if (comesAgain && !exchange.request.isRetry() && random.nextBoolean()) {
+            RequestArrived first = exchange.request;
             after(
                     300 * MS,
-                    () -> arrive(new Request(
+                    () -> arrive(new RequestArrived(
                             ++requestId,
-                            first.type(),
-                            first.tenant(),
-                            first.session(),
-                            first.prefix(),
+                            first.classIndex(),
+                            first.tenantIndex(),
+                            first.sessionKey(),
+                            first.prefixKey(),
                             3 * S,
                             0,
                             first.promptTokens(),
@@ -258,26 +258,26 @@
         }
     }
 
-    private void start(Send send) {
-        Exchange exchange = exchanges.get(send.request());
+    private void start(StartAttempt send) {
+        Exchange exchange = exchanges.get(send.requestId());
         Running attempt = new Running(send, exchange.attempts.size());
         exchange.attempts.add(attempt);
-        Behavior behavior = behaviors.getOrDefault(send.replica(), Behavior.HEALTHY);
+        Behavior behavior = behaviors.getOrDefault(send.endpointId(), Behavior.HEALTHY);
         boolean fails = random.nextDouble() < behavior.failureProbability();
         long jitter = random.nextLong(20 * MS);
         long first = behavior.firstTokenNanos() + jitter;
         if (fails && !behavior.failsMidStream()) {
             fail(attempt, behavior.failure(), first);
-        } else if (now + first > send.stopAt()) {
+        } else if (now + first > send.deadline()) {
             timeOut(attempt);
         } else {
             stream(exchange, attempt, first, fails);
         }
     }
 
-    private void fail(Running attempt, Outcome outcome, long took) {
-        boolean silent = outcome == Outcome.TIMEOUT || outcome == Outcome.STALLED;
-        if (silent || now + took > attempt.send.stopAt()) {
+    private void fail(Running attempt, AttemptOutcome outcome, long took) {
+        boolean silent = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.STALLED;
+        if (silent || now + took > attempt.send.deadline()) {
             timeOut(attempt);
         } else {
             after(took, () -> end(attempt, outcome, took, false));
@@ -285,39 +285,50 @@
     }
 
     private void timeOut(Running attempt) {
-        long patience = attempt.send.stopAt() - now;
+        long patience = attempt.send.deadline() - now;
         after(
                 patience,
-                () -> end(attempt, random.nextInt(4) == 0 ? Outcome.STALLED : Outcome.TIMEOUT, patience, false));
+                () -> end(
+                        attempt,
+                        random.nextInt(4) == 0 ? AttemptOutcome.STALLED : AttemptOutcome.TIMEOUT,
+                        patience,
+                        false));
     }
 
     private void stream(Exchange exchange, Running attempt, long first, boolean fails) {
-        Behavior behavior = behaviors.getOrDefault(attempt.send.replica(), Behavior.HEALTHY);
+        Behavior behavior = behaviors.getOrDefault(attempt.send.endpointId(), Behavior.HEALTHY);
         long took = first + (long) (behavior.nanosPerToken() * exchange.request.maxTokens());
-        boolean streams = settings.requestClass(exchange.request.type()).stream();
+        boolean streams = settings.requestClass(exchange.request.classIndex()).isStreaming();
         if (streams) {
             after(first, () -> started(exchange, attempt, first));
         }
         if (fails) {
             after(first + took / 3, () -> end(attempt, behavior.failure(), first + took / 3, streams));
         } else {
-            after(took, () -> end(attempt, Outcome.SERVED, took, true));
+            after(took, () -> end(attempt, AttemptOutcome.SERVED, took, true));
         }
     }
 
     private void started(Exchange exchange, Running attempt, long took) {
         if (!attempt.ended) {
             exchange.answered = true;
-            tell(new Started(attempt.send.request(), attempt.number, attempt.send.replica(), took));
+            tell(new ResponseStarted(attempt.send.requestId(), attempt.number, attempt.send.endpointId(), took));
         }
     }
 
-    private void end(Running attempt, Outcome outcome, long took, boolean over) {
+    private void end(Running attempt, AttemptOutcome outcome, long took, boolean over) {
         if (!attempt.ended) {
             attempt.ended = true;
-            boolean last = over || exchanges.get(attempt.send.request()).answered;
-            tell(new Ended(
-                    attempt.send.request(), attempt.number, attempt.send.replica(), outcome, last, took, 0, List.of()));
+            boolean last = over || exchanges.get(attempt.send.requestId()).answered;
+            tell(new AttemptEnded(
+                    attempt.send.requestId(),
+                    attempt.number,
+                    attempt.send.endpointId(),
+                    outcome,
+                    last,
+                    took,
+                    0,
+                    List.of()));
         }
     }
 }
--- /dev/null
+++ b/node/src/test/java/fawnlb/simulator/SimulatorHostTest.java
@@ -0,0 +1,149 @@
+package fawnlb.simulator;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import fawnlb.config.SettingsParser;
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.ByteOrder;
+import java.util.Arrays;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+
+class SimulatorHostTest {
+    private static final String SETTINGS =
+            "profiles.count=1\nprofiles.0.effect=safe\nprofiles.0.deadline-ns=4000000000\n";
+
+    private static byte[] batch(int records, byte[] body) {
+        return ByteBuffer.allocate(16 + body.length)
+                .order(ByteOrder.LITTLE_ENDIAN)
+                .putInt(records)
+                .putInt(body.length)
+                .putLong(5_000_000_000L)
+                .put(body)
+                .array();
+    }
+
+    private static byte[] oneRequestBatch() {
+        ByteBuffer buffer = ByteBuffer.allocate(1000).order(ByteOrder.LITTLE_ENDIAN);
+        buffer.put((byte) 0)
+                .putShort((short) 3)
+                .putLong(42)
+                .putInt(SETTINGS.length())
+                .put(SETTINGS.getBytes());
+        buffer.put((byte) 10).putShort((short) 1).putInt(1);
+        buffer.putLong(0)
+                .putFloat(1)
+                .put((byte) 1)
+                .putShort((short) 0)
+                .putInt(77)
+                .put((byte) 0)
+                .putShort((short) 0);
+        buffer.put((byte) 1).putShort((short) 3).put((byte) 2).putLong(1).putShort((short) 1);
+        buffer.put((byte) 2)
+                .putShort((short) 3)
+                .putLong(900)
+                .putShort((short) 0)
+                .putInt(0)
+                .putLong(0)
+                .putLong(1_000_000_000L)
+                .putLong(0)
+                .putLong(6)
+                .putFloat(10)
+                .putFloat(5)
+                .putFloat(20)
+                .put((byte) 0);
+        return batch(4, Arrays.copyOf(buffer.array(), buffer.position()));
+    }
+
+    private static byte[] exchange(byte[] input) throws IOException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        new SimulatorHost(new ByteArrayInputStream(input), out).run();
+        return out.toByteArray();
+    }
+
+    @Test
+    void emptyBatchGetsEmptyReplyAndEndOfInputEndsQuietly() throws IOException {
+        assertArrayEquals(new byte[8], exchange(batch(0, new byte[0])));
+        assertArrayEquals(new byte[0], exchange(new byte[0]));
+    }
+
+    @Test
+    void requestIsForwardedToTheListedEndpoint() throws IOException {
+        ByteBuffer reply = ByteBuffer.wrap(exchange(oneRequestBatch())).order(ByteOrder.LITTLE_ENDIAN);
+        assertEquals(23, reply.getInt());
+        assertEquals(1, reply.getInt());
+        assertEquals(73, reply.get());
+        assertEquals(3, reply.getShort());
+        assertEquals(900, reply.getLong());
+        assertEquals(77, reply.getInt());
+    }
+
+    @Test
+    void loadBalancerErrorIsReportedWithItsCause() throws IOException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        new SimulatorHost(new ByteArrayInputStream(oneRequestBatch()), out, (settings, seed, sink) -> (now, event) -> {
+                    throw new IllegalStateException("broken sum");
+                })
+                .run();
+        byte[] reply = out.toByteArray();
+        assertEquals(69, reply[8]);
+        String text = new String(reply);
+        assertTrue(text.contains("broken sum") && text.contains("EndpointsUpdated"), text);
+    }
+
+    private static String malformedBatchMessage(byte[] input) {
+        return assertThrows(BatchReader.MalformedBatchException.class, () -> exchange(input))
+                .getMessage();
+    }
+
+    @Test
+    void malformedInputIsReportedWithItsByteOffset() {
+        byte[] batch = oneRequestBatch();
+        assertTrue(malformedBatchMessage(Arrays.copyOf(batch, 7)).contains("byte 7"));
+        assertTrue(
+                malformedBatchMessage(Arrays.copyOf(batch, batch.length - 1)).contains("byte " + (batch.length - 1)));
+        assertTrue(malformedBatchMessage(batch(1, new byte[] {99, 0, 0})).contains("record code 99 at byte 16"));
+        assertTrue(malformedBatchMessage(batch(1, new byte[] {10, 16, 0, 0, 0, 0, 0}))
+                .contains("list number 16"));
+        assertTrue(malformedBatchMessage(batch(0, new byte[1])).contains("byte 16"));
+        byte[] huge = batch(0, new byte[0]);
+        huge[7] = (byte) 0x80;
+        assertTrue(malformedBatchMessage(huge).contains("impossible batch"));
+        byte[] undefined = {1, 3, 0, 2, 0, 0, 0, 0, 0, 0, 0, 0, 5, 0};
+        assertTrue(malformedBatchMessage(batch(1, undefined)).contains("unknown list number 5 at byte 16"));
+    }
+
+    @Test
+    void corruptedBatchesAreEitherAnsweredOrReportedAsMalformed() throws IOException {
+        SplittableRandom random = new SplittableRandom(11);
+        int malformedCount = 0;
+        for (int i = 0; i < 2000; i++) {
+            byte[] bytes = oneRequestBatch();
+            for (int n = random.nextInt(1, 4); n > 0; n--) {
+                bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
+            }
+            try {
+                exchange(bytes);
+            } catch (BatchReader.MalformedBatchException e) {
+                malformedCount++;
+            }
+        }
+        assertTrue(malformedCount > 100);
+    }
+
+    @Test
+    void unreadableSettingsAreReportedAndGetTheirDefault() {
+        SettingsParser parser =
+                new SettingsParser("tick-ns=soon\nlimits.second-copies=maybe\nother=1\nrules.cold-ns=-4");
+        assertEquals(false, parser.parse().limits().hedging());
+        assertEquals(1_000_000, parser.parse().tickNanos());
+        assertTrue(parser.warnings().get(0).contains("limits.second-copies"));
+        assertTrue(parser.warnings().stream().noneMatch(line -> line.contains("other")));
+    }
+}
