--- a/node/src/test/java/fawnlb/snapshot/SnapshotCompatibilityTest.java
+++ b/node/src/test/java/fawnlb/snapshot/SnapshotCompatibilityTest.java
@@ -4,8 +4,8 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 
-import fawnlb.decision.Balancer.Phase;
-import fawnlb.discovery.Member;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.snapshot.Snapshot.Entry;
 import java.io.IOException;
 import java.net.URISyntaxException;
@@ -25,24 +25,35 @@
     private static final long REVISION = 9_007_199_254_740_993L;
 
     private static final Entry READY = new Entry(
-            new Member(
+            new DiscoveredEndpoint(
                     "s-5be2a07c",
                     "127.0.0.1",
                     9001,
                     "regina-east",
                     "full-rate",
                     3,
-                    Phase.READY,
+                    EndpointPhase.READY,
                     1.5,
                     SAVED_AT_MILLIS - 86_400_000),
             SAVED_AT_MILLIS - 2000,
             SAVED_AT_MILLIS - 750);
     private static final Entry DRAINING = new Entry(
-            new Member("s-0000000a", "10.20.30.40", 65_535, "regina-west", "half-rate", 0, Phase.DRAINING, 0.25, 0),
+            new DiscoveredEndpoint(
+                    "s-0000000a",
+                    "10.20.30.40",
+                    65_535,
+                    "regina-west",
+                    "half-rate",
+                    0,
+                    EndpointPhase.DRAINING,
+                    0.25,
+                    0),
             SAVED_AT_MILLIS - 2000,
             0);
     private static final Entry IPV6 = new Entry(
-            new Member("canary-\u00e9", "[2001:db8::1]", 80, "", "", -1, Phase.READY, 100, 7), 0, SAVED_AT_MILLIS - 1);
+            new DiscoveredEndpoint("canary-\u00e9", "[2001:db8::1]", 80, "", "", -1, EndpointPhase.READY, 100, 7),
+            0,
+            SAVED_AT_MILLIS - 1);
 
     private static final Snapshot CURRENT = new Snapshot(SAVED_AT_MILLIS, REVISION, List.of(READY, DRAINING, IPV6));
     private static final Snapshot PREVIOUS = new Snapshot(PREVIOUS_SAVED_AT_MILLIS, 40, List.of(READY));
@@ -56,23 +67,23 @@
     public void currentGenerationIsReadFieldByField() throws IOException, URISyntaxException {
         Snapshot snapshot = SnapshotStore.read(file("endpoints"));
 
-        assertEquals(1_790_000_000_000L, snapshot.savedAt());
+        assertEquals(1_790_000_000_000L, snapshot.savedAtMillis());
         assertEquals(9_007_199_254_740_993L, snapshot.revision());
         assertEquals(3, snapshot.entries().size());
         Entry ready = snapshot.entries().get(0);
-        assertEquals("s-5be2a07c", ready.member().id());
-        assertEquals(0x5be2a07cL, ready.member().number());
-        assertEquals("127.0.0.1", ready.member().host());
-        assertEquals(9001, ready.member().port());
-        assertEquals("regina-east", ready.member().zone());
-        assertEquals("full-rate", ready.member().kind());
-        assertEquals(3, ready.member().cell());
-        assertEquals(Phase.READY, ready.member().phase());
-        assertEquals(1.5, ready.member().size(), 0);
-        assertEquals(1_789_913_600_000L, ready.member().upSinceMillis());
-        assertEquals(1_789_999_998_000L, ready.listedAt());
-        assertEquals(1_789_999_999_250L, ready.answeredAt());
-        assertEquals(1_789_999_999_250L, ready.heardAt());
+        assertEquals("s-5be2a07c", ready.endpoint().id());
+        assertEquals(0x5be2a07cL, ready.endpoint().numericId());
+        assertEquals("127.0.0.1", ready.endpoint().host());
+        assertEquals(9001, ready.endpoint().port());
+        assertEquals("regina-east", ready.endpoint().zone());
+        assertEquals("full-rate", ready.endpoint().kind());
+        assertEquals(3, ready.endpoint().cell());
+        assertEquals(EndpointPhase.READY, ready.endpoint().phase());
+        assertEquals(1.5, ready.endpoint().size(), 0);
+        assertEquals(1_789_913_600_000L, ready.endpoint().upSinceMillis());
+        assertEquals(1_789_999_998_000L, ready.lastListedAtMillis());
+        assertEquals(1_789_999_999_250L, ready.lastResponseAtMillis());
+        assertEquals(1_789_999_999_250L, ready.lastContactAtMillis());
         assertEquals(DRAINING, snapshot.entries().get(1));
         assertEquals(IPV6, snapshot.entries().get(2));
     }
@@ -84,11 +95,11 @@
 
     @Test
     public void storeReadsTheCurrentGenerationWithoutFaults() throws URISyntaxException {
-        SnapshotStore.Found found = new SnapshotStore(file("endpoints")).read(SAVED_AT_MILLIS, 0);
+        SnapshotStore.ReadResult found = new SnapshotStore(file("endpoints")).read(SAVED_AT_MILLIS, 0);
 
         assertEquals(CURRENT, found.snapshot());
-        assertEquals(file("endpoints"), found.from());
-        assertFalse(found.future());
+        assertEquals(file("endpoints"), found.file());
+        assertFalse(found.isFromFuture());
         assertEquals(List.of(), found.faults());
     }
 
--- a/node/src/test/java/fawnlb/snapshot/SnapshotTest.java
+++ b/node/src/test/java/fawnlb/snapshot/SnapshotStoreTest.java
@@ -6,8 +6,8 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.Balancer.Phase;
-import fawnlb.discovery.Member;
+import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.snapshot.Snapshot.Entry;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -20,30 +20,30 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-public class SnapshotTest {
-    private static final long NOW = 1_700_000_000_000L;
+public class SnapshotStoreTest {
+    private static final long NOW_MILLIS = 1_700_000_000_000L;
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
-    private static Snapshot snapshot(long saved, String... ids) {
+    private static Snapshot snapshot(long savedAtMillis, String... ids) {
         return new Snapshot(
-                saved,
+                savedAtMillis,
                 41,
                 Arrays.stream(ids)
                         .map(id -> new Entry(
-                                new Member(
+                                new DiscoveredEndpoint(
                                         id,
                                         "127.0.0.1",
                                         9000,
                                         "regina-east",
                                         "full-rate",
                                         3,
-                                        Phase.READY,
+                                        EndpointPhase.READY,
                                         1.5,
-                                        saved - 5),
-                                saved,
-                                saved - 7))
+                                        savedAtMillis - 5),
+                                savedAtMillis,
+                                savedAtMillis - 7))
                         .toList());
     }
 
@@ -52,29 +52,31 @@
     }
 
     @Test
-    public void whatIsWrittenIsRead() throws IOException {
-        Snapshot snapshot = snapshot(NOW, "s-0000000a", "s-0000000b");
+    public void decodesWhatWasEncoded() throws IOException {
+        Snapshot snapshot = snapshot(NOW_MILLIS, "s-0000000a", "s-0000000b");
         assertEquals(snapshot, SnapshotCodec.decode(SnapshotCodec.encode(snapshot)));
     }
 
     @Test
-    public void everyFlippedBitAndEveryTruncationIsFound() throws IOException {
-        byte[] whole = SnapshotCodec.encode(snapshot(NOW, "s-0000000a"));
+    public void everyFlippedBitAndEveryTruncationIsRejected() throws IOException {
+        byte[] whole = SnapshotCodec.encode(snapshot(NOW_MILLIS, "s-0000000a"));
         for (int bit = 0; bit < whole.length * 8; bit++) {
             byte[] altered = whole.clone();
             altered[bit / 8] ^= (byte) (1 << bit % 8);
-            assertThrows("bit " + bit, SnapshotCodec.Damaged.class, () -> SnapshotCodec.decode(altered));
+            assertThrows(
+                    "bit " + bit, SnapshotCodec.SnapshotFormatException.class, () -> SnapshotCodec.decode(altered));
         }
         for (int length = 0; length < whole.length; length++) {
             byte[] cut = Arrays.copyOf(whole, length);
-            assertThrows("length " + length, SnapshotCodec.Damaged.class, () -> SnapshotCodec.decode(cut));
+            assertThrows(
+                    "length " + length, SnapshotCodec.SnapshotFormatException.class, () -> SnapshotCodec.decode(cut));
         }
     }
 
     @Test
-    public void aNewerFormIsNamedAsOne() throws IOException {
-        ByteBuffer file = ByteBuffer.wrap(SnapshotCodec.encode(snapshot(NOW, "s-0000000a")));
-        file.putShort(4, (short) (SnapshotCodec.VERSION + 1));
+    public void newerFormatVersionIsNamedInTheError() throws IOException {
+        ByteBuffer file = ByteBuffer.wrap(SnapshotCodec.encode(snapshot(NOW_MILLIS, "s-0000000a")));
+        file.putShort(4, (short) (SnapshotCodec.FORMAT_VERSION + 1));
         CRC32C sum = new CRC32C();
         sum.update(file.array(), 0, file.capacity() - 4);
         file.putInt(file.capacity() - 4, (int) sum.getValue());
@@ -85,10 +87,10 @@
 
     /** Each row: what the newer and the older generation hold, and what is read: a, b or nothing; and the faults. */
     @Test
-    public void theNewestGenerationThatCanBeReadIsTaken() throws IOException {
-        byte[] a = SnapshotCodec.encode(snapshot(NOW, "a"));
-        byte[] b = SnapshotCodec.encode(snapshot(NOW - 1000, "b"));
-        byte[] later = SnapshotCodec.encode(snapshot(NOW + 60_000, "later"));
+    public void newestReadableGenerationIsUsed() throws IOException {
+        byte[] a = SnapshotCodec.encode(snapshot(NOW_MILLIS, "a"));
+        byte[] b = SnapshotCodec.encode(snapshot(NOW_MILLIS - 1000, "b"));
+        byte[] later = SnapshotCodec.encode(snapshot(NOW_MILLIS + 60_000, "later"));
         byte[] bad = {1, 2, 3};
         Object[][] cases = {
             {a, b, "a", 0},
@@ -111,43 +113,43 @@
             if (cases[i][1] != null) {
                 Files.write(file.resolveSibling("list.1"), (byte[]) cases[i][1]);
             }
-            SnapshotStore.Found found = new SnapshotStore(file).read(NOW, 5000);
+            SnapshotStore.ReadResult found = new SnapshotStore(file).read(NOW_MILLIS, 5000);
             String read = found.snapshot() == null
                     ? null
-                    : found.snapshot().entries().get(0).member().id();
+                    : found.snapshot().entries().get(0).endpoint().id();
             assertEquals("row " + i, cases[i][2], read);
             assertEquals(
                     "row " + i + found.faults(), cases[i][3], found.faults().size());
-            assertEquals("row " + i, "later".equals(read), found.future());
+            assertEquals("row " + i, "later".equals(read), found.isFromFuture());
             assertTrue(found.faults().stream().allMatch(line -> line.lines().count() == 1));
         }
     }
 
     @Test
-    public void twoGenerationsStandAfterAnyNumberOfWritings() throws IOException {
+    public void twoGenerationsRemainAfterAnyNumberOfWrites() throws IOException {
         SnapshotStore store = new SnapshotStore(file());
         for (String id : List.of("a", "b", "c")) {
-            store.write(snapshot(NOW, id));
+            store.write(snapshot(NOW_MILLIS, id));
         }
-        assertEquals("c", SnapshotStore.read(file()).entries().get(0).member().id());
+        assertEquals("c", SnapshotStore.read(file()).entries().get(0).endpoint().id());
         assertEquals(
                 "b",
                 SnapshotStore.read(file().resolveSibling("list.1"))
                         .entries()
                         .get(0)
-                        .member()
+                        .endpoint()
                         .id());
         assertFalse(Files.exists(file().resolveSibling("list.tmp")));
     }
 
     /** A folder in the file's place stands for a disk that can't be read or written. */
     @Test
-    public void aDiskThatFailsIsAFaultAndNoMore() throws IOException {
+    public void failedDiskIsReportedAsAFault() throws IOException {
         Files.createDirectory(file());
         Files.createDirectory(file().resolveSibling("list.tmp"));
         SnapshotStore store = new SnapshotStore(file());
-        assertThrows(IOException.class, () -> store.write(snapshot(NOW, "a")));
-        SnapshotStore.Found found = store.read(NOW, 0);
+        assertThrows(IOException.class, () -> store.write(snapshot(NOW_MILLIS, "a")));
+        SnapshotStore.ReadResult found = store.read(NOW_MILLIS, 0);
         assertNull(found.snapshot());
         assertEquals(1, found.faults().size());
     }
--- a/node/src/test/java/fawnlb/syslog/SyslogRecordTest.java
+++ b/node/src/test/java/fawnlb/syslog/SyslogFormatterTest.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 import org.junit.Test;
 
-public class SyslogRecordTest {
+public class SyslogFormatterTest {
     private static final Instant TIME = Instant.ofEpochMilli(1_000);
 
     private static String format(String host, String id, Map<String, String> data, String message) {
         return new String(
-                new SyslogRecord(16, host, "app", "7").format(6, TIME, id, "flow@32473", data, message),
+                new SyslogFormatter(16, host, "app", "7").format(6, TIME, id, "flow@32473", data, message),
                 StandardCharsets.UTF_8);
     }
 
     @Test
-    public void recordsReadAsTheStandardSays() {
+    public void recordsFollowRfc5424() {
         String head = "<134>1 1970-01-01T00:00:01.000Z ";
         Object[][] cases = {
             {"h", "ID", Map.of("a", "b"), "text", head + "h app 7 ID [flow@32473 a=\"b\"] text"},
@@ -41,15 +41,15 @@
     }
 
     @Test
-    public void lengthsAreHeld() {
+    public void overlongFieldsAreTruncated() {
         Map<String, String> data = new LinkedHashMap<>();
         for (int i = 0; i < 40; i++) {
             data.put("parameter-of-a-name-longer-than-32-characters" + i, "\u4e2d".repeat(200));
         }
-        byte[] all = new SyslogRecord(23, "h".repeat(300), "a".repeat(60), "p")
+        byte[] all = new SyslogFormatter(23, "h".repeat(300), "a".repeat(60), "p")
                 .format(7, TIME, "i".repeat(40), "e", data, "m".repeat(3000));
         String text = new String(all, StandardCharsets.UTF_8);
-        assertTrue(all.length <= SyslogRecord.MAX_RECORD_BYTES);
+        assertTrue(all.length <= SyslogFormatter.MAX_RECORD_BYTES);
         String[] parts = text.split(" ");
         assertEquals(255, parts[2].length());
         assertEquals(48, parts[3].length());
--- a/node/src/test/java/fawnlb/syslog/SyslogSenderTest.java
+++ b/node/src/test/java/fawnlb/syslog/SyslogSenderTest.java
@@ -3,8 +3,8 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.actor.IoTimers;
-import fawnlb.actor.Mailbox;
+import fawnlb.eventloop.EventLoopTimers;
+import fawnlb.eventloop.Mailbox;
 import java.io.InputStream;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -37,7 +37,7 @@
 
     private SyslogSender sender(InetSocketAddress collector, boolean tcp) throws Exception {
         XnioIoThread thread = worker.getIoThread();
-        return new SyslogSender(thread, new IoTimers(thread), new Mailbox(thread, 10_000), collector, tcp);
+        return new SyslogSender(thread, new EventLoopTimers(thread), new Mailbox(thread, 10_000), collector, tcp);
     }
 
     private static byte[] bytes(String text) {
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void datagramsHoldARecordEach() throws Exception {
+    public void udpSendsOneRecordPerDatagram() throws Exception {
         try (DatagramSocket collector = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             collector.setSoTimeout(5000);
             sender(new InetSocketAddress(collector.getLocalAddress(), collector.getLocalPort()), false)
@@ -57,7 +57,7 @@
     }
 
     @Test
-    public void aStreamCountsOctetsAndOutlivesItsCollector() throws Exception {
+    public void tcpUsesOctetCountingAndReconnects() throws Exception {
         try (ServerSocket collector = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             collector.setSoTimeout(10_000);
             SyslogSender sender = sender((InetSocketAddress) collector.getLocalSocketAddress(), true);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    public void aCollectorThatDoesNotReadDelaysNothingAndDropsAreCounted() throws Exception {
+    public void slowCollectorDropsAndCountsRecordsWithoutBlocking() throws Exception {
         try (ServerSocket collector = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             SyslogSender sender = sender((InetSocketAddress) collector.getLocalSocketAddress(), true);
             byte[] record = new byte[60_000];
@@ -95,10 +95,10 @@
             worker.getIoThread().execute(told::countDown);
             assertTrue(told.await(10, TimeUnit.SECONDS));
             long end = System.nanoTime() + 10_000_000_000L;
-            while (sender.dropped() == 0 && System.nanoTime() < end) {
+            while (sender.droppedRecords() == 0 && System.nanoTime() < end) {
                 Thread.onSpinWait();
             }
-            assertTrue(sender.dropped() > 0);
+            assertTrue(sender.droppedRecords() > 0);
         }
     }
 }
--- a/node/src/test/java/fawnlb/dialect/PromptTest.java
+++ b/node/src/test/java/fawnlb/translation/CompletionRequestTest.java
@@ -1,4 +1,4 @@
-package fawnlb.dialect;
+package fawnlb.translation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertThrows;
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.Test;
 
-public class PromptTest {
+public class CompletionRequestTest {
     private static final String CHAT = "{\"model\":\"m\",\"max_tokens\":5,\"stream\":true,\"messages\":["
             + "{\"role\":\"system\",\"content\":\"S\"},{\"role\":\"user\",\"content\":\"U\"}],\"temperature\":0.5,\"stop\":[\"x\"],"
             + "\"stream_options\":{\"include_usage\":true},\"user\":\"u1\"}";
@@ -14,7 +14,7 @@
             "{\"model\":\"m\",\"max_tokens\":5,\"stream\":true,\"system\":\"S\",\"messages\":["
                     + "{\"role\":\"user\",\"content\":\"U\"}],\"temperature\":0.5,\"stop_sequences\":[\"x\"],"
                     + "\"metadata\":{\"user_id\":\"u1\"}}";
-    private static final String[][] BAD = {
+    private static final String[][] INVALID_REQUESTS = {
         {"CHAT", "", "JSON"},
         {"CHAT", "[]", "JSON"},
         {"CHAT", "{} {}", "JSON"},
@@ -45,30 +45,34 @@
     }
 
     @Test
-    public void eachDialectBecomesTheOther() throws Prompt.Bad {
+    public void requestIsTranslatedBetweenDialects() throws CompletionRequest.InvalidCompletionRequestException {
         for (Dialect from : Dialect.values()) {
-            Prompt prompt = Prompt.read(from, bytes(from == Dialect.CHAT ? CHAT : MESSAGES));
-            assertEquals(MESSAGES, new String(prompt.write(Dialect.MESSAGES), StandardCharsets.UTF_8));
-            assertEquals(Prompt.read(Dialect.CHAT, prompt.write(Dialect.CHAT)), Prompt.read(Dialect.CHAT, bytes(CHAT)));
+            CompletionRequest request = CompletionRequest.decode(from, bytes(from == Dialect.CHAT ? CHAT : MESSAGES));
+            assertEquals(MESSAGES, new String(request.encode(Dialect.MESSAGES), StandardCharsets.UTF_8));
+            assertEquals(
+                    CompletionRequest.decode(Dialect.CHAT, request.encode(Dialect.CHAT)),
+                    CompletionRequest.decode(Dialect.CHAT, bytes(CHAT)));
         }
     }
 
     @Test
-    public void textPartsAreJoined() throws Prompt.Bad {
-        Prompt prompt = Prompt.read(
+    public void textPartsAreConcatenated() throws CompletionRequest.InvalidCompletionRequestException {
+        CompletionRequest request = CompletionRequest.decode(
                 Dialect.MESSAGES,
                 bytes(
                         "{\"model\":\"m\",\"max_tokens\":1,\"system\":[{\"type\":\"text\","
                                 + "\"text\":\"a\"},{\"type\":\"text\",\"text\":\"b\"}],\"messages\":[{\"role\":\"user\",\"content\":\"cdefg\"}]}"));
-        assertEquals("ab", prompt.system());
-        assertEquals(2, prompt.promptTokens());
+        assertEquals("ab", request.system());
+        assertEquals(2, request.promptTokens());
     }
 
     @Test
-    public void whatIsWrongIsNamed() {
-        for (String[] row : BAD) {
+    public void invalidRequestIsRejectedWithFieldName() {
+        for (String[] row : INVALID_REQUESTS) {
             String message = assertThrows(
-                            row[1], Prompt.Bad.class, () -> Prompt.read(Dialect.valueOf(row[0]), bytes(row[1])))
+                            row[1],
+                            CompletionRequest.InvalidCompletionRequestException.class,
+                            () -> CompletionRequest.decode(Dialect.valueOf(row[0]), bytes(row[1])))
                     .getMessage();
             assertEquals(message, true, message.contains(row[2]));
         }
--- a/node/src/test/java/fawnlb/dialect/TranslationTest.java
+++ b/node/src/test/java/fawnlb/translation/ResponseTranslatorTest.java
@@ -1,4 +1,4 @@
-package fawnlb.dialect;
+package fawnlb.translation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.Test;
 
-public class TranslationTest {
+public class ResponseTranslatorTest {
     private static final String CHAT =
             "data: {\"id\":\"c1\",\"model\":\"m\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"He\"},"
                     + "\"finish_reason\":null}]}\n\ndata: {\"choices\":[{\"delta\":{\"content\":\"llo\"},\"finish_reason\":\"length\"}]}\n\n"
@@ -27,32 +27,32 @@
                     + "event: message_delta\ndata: {\"delta\":{\"stop_reason\":\"max_tokens\"},\"usage\":{\"output_tokens\":2}}\n\n"
                     + "event: message_stop\ndata: {\"type\":\"message_stop\"}\n\n";
 
-    private static String run(Translation translation, String in, int piece) throws IOException {
+    private static String translate(ResponseTranslator translation, String in, int chunkSize) throws IOException {
         byte[] bytes = in.getBytes(StandardCharsets.UTF_8);
         StringBuilder out = new StringBuilder();
-        for (int at = 0; at < bytes.length; at += piece) {
-            ByteBuffer part = ByteBuffer.wrap(bytes, at, Math.min(piece, bytes.length - at));
+        for (int at = 0; at < bytes.length; at += chunkSize) {
+            ByteBuffer part = ByteBuffer.wrap(bytes, at, Math.min(chunkSize, bytes.length - at));
             out.append(StandardCharsets.UTF_8.decode(translation.feed(part)));
         }
         return out.toString();
     }
 
     /** The names of messages events, or the gist of chat chunks. */
-    private static String gist(String events) {
+    private static String eventNames(String events) {
         StringBuilder out = new StringBuilder();
         events.lines().forEach(line -> out.append(line.startsWith("event: ") ? line.substring(7) + ' ' : ""));
         return out.toString().trim();
     }
 
     @Test
-    public void chatBecomesMessagesAsItComes() throws IOException {
-        for (int piece : new int[] {1, 5, 10_000}) {
-            Translation translation = new Translation(Dialect.CHAT, Dialect.MESSAGES, true);
-            String out = run(translation, CHAT, piece);
+    public void chatStreamIsTranslatedToMessagesIncrementally() throws IOException {
+        for (int chunkSize : new int[] {1, 5, 10_000}) {
+            ResponseTranslator translation = new ResponseTranslator(Dialect.CHAT, Dialect.MESSAGES, true);
+            String out = translate(translation, CHAT, chunkSize);
             assertEquals(
                     "message_start content_block_start content_block_delta content_block_delta content_block_stop "
                             + "message_delta message_stop",
-                    gist(out));
+                    eventNames(out));
             assertTrue(
                     out,
                     out.contains("\"text\":\"He\"")
@@ -60,16 +60,16 @@
                             && out.contains("\"output_tokens\":2")
                             && out.contains("\"cache_read_input_tokens\":4"));
             translation.finish();
-            assertEquals(11, translation.tokens());
-            assertEquals(0, translation.skipped());
+            assertEquals(11, translation.totalTokens());
+            assertEquals(0, translation.unrecognizedEvents());
         }
     }
 
     @Test
-    public void messagesBecomeChatAsTheyCome() throws IOException {
-        for (int piece : new int[] {1, 5, 10_000}) {
-            Translation translation = new Translation(Dialect.MESSAGES, Dialect.CHAT, true);
-            String out = run(translation, MESSAGES, piece);
+    public void messagesStreamIsTranslatedToChatIncrementally() throws IOException {
+        for (int chunkSize : new int[] {1, 5, 10_000}) {
+            ResponseTranslator translation = new ResponseTranslator(Dialect.MESSAGES, Dialect.CHAT, true);
+            String out = translate(translation, MESSAGES, chunkSize);
             assertTrue(
                     out,
                     out.contains("\"content\":\"Hello\"")
@@ -77,31 +77,31 @@
                             && out.contains("\"prompt_tokens\":9")
                             && out.endsWith("data: [DONE]\n\n"));
             translation.finish();
-            assertEquals(0, translation.skipped());
+            assertEquals(0, translation.unrecognizedEvents());
         }
     }
 
     @Test
-    public void unknownEventsAreSkippedAndCounted() throws IOException {
+    public void unrecognizedEventsAreSkippedAndCounted() throws IOException {
         String odd =
                 "event: sparkle\ndata: {{{\n\nevent: content_block_delta\ndata: {\"delta\":{\"type\":\"thinking_delta\"}}\n\n";
-        Translation messages = new Translation(Dialect.MESSAGES, Dialect.CHAT, true);
-        String plain = run(new Translation(Dialect.MESSAGES, Dialect.CHAT, true), MESSAGES, 9999);
-        assertEquals(plain, run(messages, odd + MESSAGES, 3));
-        assertEquals(2, messages.skipped());
-        Translation chat = new Translation(Dialect.CHAT, Dialect.MESSAGES, true);
-        run(chat, "event: sparkle\ndata: x\n\ndata: {\"object\":\"new\"}\n\n" + CHAT, 4);
-        assertEquals(2, chat.skipped());
+        ResponseTranslator messages = new ResponseTranslator(Dialect.MESSAGES, Dialect.CHAT, true);
+        String plain = translate(new ResponseTranslator(Dialect.MESSAGES, Dialect.CHAT, true), MESSAGES, 9999);
+        assertEquals(plain, translate(messages, odd + MESSAGES, 3));
+        assertEquals(2, messages.unrecognizedEvents());
+        ResponseTranslator chat = new ResponseTranslator(Dialect.CHAT, Dialect.MESSAGES, true);
+        translate(chat, "event: sparkle\ndata: x\n\ndata: {\"object\":\"new\"}\n\n" + CHAT, 4);
+        assertEquals(2, chat.unrecognizedEvents());
     }
 
     @Test
-    public void aCutStreamNeverLooksFinished() throws IOException {
+    public void truncatedStreamNeverEmitsFinalEvent() throws IOException {
         for (Dialect from : Dialect.values()) {
             Dialect to = from == Dialect.CHAT ? Dialect.MESSAGES : Dialect.CHAT;
             String all = from == Dialect.CHAT ? CHAT : MESSAGES;
             for (int end = 0; end < all.length() - 1; end += 7) {
-                Translation translation = new Translation(from, to, true);
-                String out = run(translation, all.substring(0, end), 50);
+                ResponseTranslator translation = new ResponseTranslator(from, to, true);
+                String out = translate(translation, all.substring(0, end), 50);
                 assertFalse(out, out.contains("message_stop") || out.contains("[DONE]"));
                 assertThrows(IOException.class, translation::finish);
             }
@@ -109,22 +109,22 @@
     }
 
     @Test
-    public void anErrorIsPassedOnAndIsNoEnd() throws IOException {
+    public void errorEventIsForwardedWithoutFinalEvent() throws IOException {
         String[][] cases = {
             {"MESSAGES", "event: error\ndata: {\"error\":{\"type\":\"overloaded_error\",\"message\":\"b\"}}\n\n"},
             {"CHAT", "data: {\"error\":{\"type\":\"overloaded_error\",\"message\":\"b\"}}\n\n"}
         };
         for (String[] row : cases) {
             Dialect from = Dialect.valueOf(row[0]);
-            Translation translation =
-                    new Translation(from, from == Dialect.CHAT ? Dialect.MESSAGES : Dialect.CHAT, true);
-            assertTrue(run(translation, row[1], 100).contains("overloaded_error"));
+            ResponseTranslator translation =
+                    new ResponseTranslator(from, from == Dialect.CHAT ? Dialect.MESSAGES : Dialect.CHAT, true);
+            assertTrue(translate(translation, row[1], 100).contains("overloaded_error"));
             assertThrows(IOException.class, translation::finish);
         }
     }
 
     @Test
-    public void knownEventsThatCannotBeReadAreErrors() {
+    public void malformedKnownEventsAreRejected() {
         for (String[] row : new String[][] {
             {"CHAT", "data: {\"choices\":[\n\n"},
             {"CHAT", "data: [1]\n\n"},
@@ -132,14 +132,14 @@
         }) {
             assertThrows(
                     IOException.class,
-                    () -> run(new Translation(Dialect.valueOf(row[0]), Dialect.CHAT, true), row[1], 9));
+                    () -> translate(new ResponseTranslator(Dialect.valueOf(row[0]), Dialect.CHAT, true), row[1], 9));
         }
     }
 
     @Test
-    public void wholeAnswersAreTranslated() throws IOException {
-        Translation chat = new Translation(Dialect.CHAT, Dialect.MESSAGES, false);
-        run(
+    public void completeResponsesAreTranslated() throws IOException {
+        ResponseTranslator chat = new ResponseTranslator(Dialect.CHAT, Dialect.MESSAGES, false);
+        translate(
                 chat,
                 "{\"id\":\"c\",\"model\":\"m\",\"choices\":[{\"message\":{\"content\":\"Hi\"},\"finish_reason\":\"stop\"}],"
                         + "\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":1}}",
@@ -149,13 +149,13 @@
                         + "\"text\":\"Hi\"}],\"stop_reason\":\"end_turn\",\"stop_sequence\":null,\"usage\":{\"input_tokens\":3,"
                         + "\"output_tokens\":1,\"cache_read_input_tokens\":0}}",
                 StandardCharsets.UTF_8.decode(chat.finish()).toString());
-        Translation messages = new Translation(Dialect.MESSAGES, Dialect.CHAT, false);
-        run(
+        ResponseTranslator messages = new ResponseTranslator(Dialect.MESSAGES, Dialect.CHAT, false);
+        translate(
                 messages,
                 "{\"type\":\"message\",\"id\":\"m\",\"content\":[{\"type\":\"text\",\"text\":\"Hi\"}],"
                         + "\"stop_reason\":\"end_turn\",\"usage\":{\"input_tokens\":3,\"output_tokens\":1}}",
                 8);
         assertTrue(StandardCharsets.UTF_8.decode(messages.finish()).toString().contains("\"content\":\"Hi\""));
-        assertThrows(IOException.class, new Translation(Dialect.CHAT, Dialect.MESSAGES, false)::finish);
+        assertThrows(IOException.class, new ResponseTranslator(Dialect.CHAT, Dialect.MESSAGES, false)::finish);
     }
 }
--- a/node/src/test/java/fawnlb/dialect/SseParserTest.java
+++ b/node/src/test/java/fawnlb/translation/SseParserTest.java
@@ -1,4 +1,4 @@
-package fawnlb.dialect;
+package fawnlb.translation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertThrows;
@@ -26,14 +26,14 @@
     };
 
     @Test
-    public void eventsReadAlikeHoweverTheyAreCut() throws IOException {
+    public void eventsAreParsedFromChunksOfAnySize() throws IOException {
         for (String[] row : CASES) {
             byte[] in = row[0].getBytes(StandardCharsets.UTF_8);
-            for (int piece : new int[] {1, 3, 1000}) {
+            for (int chunkSize : new int[] {1, 3, 1000}) {
                 SseParser parser = new SseParser();
                 StringBuilder out = new StringBuilder();
-                for (int at = 0; at < in.length; at += piece) {
-                    parser.feed(ByteBuffer.wrap(in, at, Math.min(piece, in.length - at)))
+                for (int at = 0; at < in.length; at += chunkSize) {
+                    parser.feed(ByteBuffer.wrap(in, at, Math.min(chunkSize, in.length - at)))
                             .forEach(e -> out.append(e.name())
                                     .append('=')
                                     .append(e.data())
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void anEndlessEventIsAnError() {
+    public void eventBeyondSizeLimitIsRejected() {
         assertThrows(IOException.class, () -> new SseParser().feed(ByteBuffer.wrap(new byte[300_000])));
     }
 }
