--- a/lab/src/main/java/fawnlb/lab/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/fawnlb/lab/discovery/DiscoveryServer.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.discovery.EndpointList;
 import fawnlb.eventloop.Timers;
--- a/lab/src/main/java/fawnlb/lab/scenario/SnapshotWriterProcess.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/SnapshotWriterProcess.java
@@ -1,6 +1,6 @@
 package fawnlb.lab.scenario;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.snapshot.Snapshot;
 import fawnlb.snapshot.SnapshotStore;
--- a/lab/src/main/java/fawnlb/lab/scenario/Soak.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/Soak.java
@@ -1,6 +1,6 @@
 package fawnlb.lab.scenario;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.lab.engine.ApiFormat;
 import fawnlb.lab.engine.EngineProfile;
--- a/lab/src/test/java/fawnlb/lab/cli/EmulatedFleetTest.java
+++ b/lab/src/test/java/fawnlb/lab/cli/EmulatedFleetTest.java
@@ -3,8 +3,8 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.discovery.DiscoveryClient;
 import fawnlb.discovery.EndpointList;
--- a/lab/src/test/java/fawnlb/lab/scenario/SystemFaultsIT.java
+++ b/lab/src/test/java/fawnlb/lab/scenario/SystemFaultsIT.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.lab.engine.ApiFormat;
 import fawnlb.lab.engine.EngineProfile;
--- a/node/src/main/java/fawnlb/backend/Backend.java
+++ b/node/src/main/java/fawnlb/backend/Backend.java
@@ -1,6 +1,6 @@
 package fawnlb.backend;
 
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.AttemptOutcome;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
 import fawnlb.http.HttpClientConnection;
--- a/node/src/main/java/fawnlb/backend/BackendPool.java
+++ b/node/src/main/java/fawnlb/backend/BackendPool.java
@@ -1,7 +1,7 @@
 package fawnlb.backend;
 
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.EndpointPhase;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
 import fawnlb.proxy.Backends;
--- a/node/src/main/java/fawnlb/cli/EndpointPublisher.java
+++ b/node/src/main/java/fawnlb/cli/EndpointPublisher.java
@@ -1,9 +1,10 @@
 package fawnlb.cli;
 
 import fawnlb.backend.BackendPool;
-import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.decision.Endpoint;
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.discovery.DiscoveryClient;
 import fawnlb.discovery.EndpointList;
@@ -62,7 +63,9 @@
             snapshotRecorder.onDiscoveryUpdate(kind, list);
         }
         requestProxy.onEndpointsUpdated(
-                list == null ? new LoadBalancer.EndpointsUpdated(kind, 0, List.of()) : toEndpointsUpdated(kind, list));
+                list == null
+                        ? new LoadBalancerEvent.EndpointsUpdated(kind, 0, List.of())
+                        : toEndpointsUpdated(kind, list));
         updateReadiness(kind);
     }
 
@@ -85,7 +88,7 @@
         }
     }
 
-    private LoadBalancer.EndpointsUpdated toEndpointsUpdated(EndpointUpdateKind kind, EndpointList list) {
+    private LoadBalancerEvent.EndpointsUpdated toEndpointsUpdated(EndpointUpdateKind kind, EndpointList list) {
         startTimes.recordStarts(list, timers.now());
         if (kind != EndpointUpdateKind.CACHED) {
             startTimes.recordContact(timers.now());
@@ -94,7 +97,7 @@
             backends.retainOnly(
                     list.endpoints().stream().map(DiscoveredEndpoint::numericId).collect(Collectors.toSet()));
         }
-        List<LoadBalancer.Endpoint> endpoints = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (DiscoveredEndpoint member : list.endpoints()) {
             backends.updateBackend(
                     member.numericId(),
@@ -104,11 +107,11 @@
                     messagesApiKinds.contains(member.kind()) ? Dialect.MESSAGES : Dialect.CHAT);
             endpoints.add(toEndpoint(member));
         }
-        return new LoadBalancer.EndpointsUpdated(kind, list.revision(), endpoints);
+        return new LoadBalancerEvent.EndpointsUpdated(kind, list.revision(), endpoints);
     }
 
-    private LoadBalancer.Endpoint toEndpoint(DiscoveredEndpoint member) {
-        return new LoadBalancer.Endpoint(
+    private Endpoint toEndpoint(DiscoveredEndpoint member) {
+        return new Endpoint(
                 member.numericId(),
                 member.phase(),
                 startTimes.startedAt(member),
--- a/node/src/main/java/fawnlb/cli/Main.java
+++ b/node/src/main/java/fawnlb/cli/Main.java
@@ -9,7 +9,7 @@
 import fawnlb.config.ServerConfiguration;
 import fawnlb.config.StartupConfiguration;
 import fawnlb.config.StreamConfiguration;
-import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.simulator.SimulatorHost;
 import fawnlb.snapshot.SnapshotStore;
 import java.io.BufferedInputStream;
--- a/node/src/main/java/fawnlb/cli/Server.java
+++ b/node/src/main/java/fawnlb/cli/Server.java
@@ -12,7 +12,7 @@
 import fawnlb.config.ServerConfiguration;
 import fawnlb.config.StartupConfiguration;
 import fawnlb.config.StreamConfiguration;
-import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.discovery.DiscoveryClient;
 import fawnlb.eventloop.EventLoopCall;
 import fawnlb.eventloop.EventLoopTimers;
--- a/node/src/main/java/fawnlb/config/ServerConfiguration.java
+++ b/node/src/main/java/fawnlb/config/ServerConfiguration.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.discovery.EndpointList;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/node/src/main/java/fawnlb/config/StartupConfiguration.java
+++ b/node/src/main/java/fawnlb/config/StartupConfiguration.java
@@ -1,6 +1,6 @@
 package fawnlb.config;
 
-import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.restore.RestoredEndpointFilter;
 import fawnlb.snapshot.SnapshotRecorder;
 import java.nio.file.Path;
--- a/node/src/main/java/fawnlb/discovery/DiscoveredEndpoint.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveredEndpoint.java
@@ -1,6 +1,6 @@
 package fawnlb.discovery;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 
 /** A backend as discovery lists it. */
 public record DiscoveredEndpoint(
--- a/node/src/main/java/fawnlb/discovery/DiscoveryClient.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryClient.java
@@ -1,6 +1,6 @@
 package fawnlb.discovery;
 
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import fawnlb.decision.EndpointUpdateKind;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
 import fawnlb.http.HttpClientConnection;
--- a/node/src/main/java/fawnlb/discovery/EndpointList.java
+++ b/node/src/main/java/fawnlb/discovery/EndpointList.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/node/src/main/java/fawnlb/discovery/EndpointStartTimes.java
+++ b/node/src/main/java/fawnlb/discovery/EndpointStartTimes.java
@@ -1,6 +1,6 @@
 package fawnlb.discovery;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
--- a/node/src/main/java/fawnlb/filter/EndpointFilterChain.java
+++ b/node/src/main/java/fawnlb/filter/EndpointFilterChain.java
@@ -1,6 +1,11 @@
 package fawnlb.filter;
 
 import fawnlb.decision.LoadBalancer;
+import fawnlb.decision.LoadBalancerAction.SetTimer;
+import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
+import fawnlb.decision.LoadBalancerEvent.TimerFired;
+import fawnlb.decision.LoadBalancerSettings;
 import java.util.Arrays;
 import java.util.List;
 
--- a/node/src/main/java/fawnlb/membership/SubscriptionSchedule.java
+++ b/node/src/main/java/fawnlb/membership/SubscriptionSchedule.java
@@ -1,6 +1,6 @@
 package fawnlb.membership;
 
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import fawnlb.decision.EndpointUpdateKind;
 import java.util.OptionalLong;
 import java.util.function.DoubleSupplier;
 
--- a/node/src/main/java/fawnlb/messages/BrokerHandler.java
+++ b/node/src/main/java/fawnlb/messages/BrokerHandler.java
@@ -7,7 +7,7 @@
 import fawnlb.client.ResponseFormatter;
 import fawnlb.contract.Contract;
 import fawnlb.contract.Contracts;
-import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
 import fawnlb.http.RequestBodyReader;
--- a/node/src/main/java/fawnlb/platform/PlatformHandler.java
+++ b/node/src/main/java/fawnlb/platform/PlatformHandler.java
@@ -4,7 +4,7 @@
 import fawnlb.client.ClientExchange;
 import fawnlb.client.InFlightRequestIds;
 import fawnlb.client.ResponseFormatter;
-import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.http.RequestBodyReader;
 import fawnlb.http.RequestHeadValidator;
--- a/node/src/main/java/fawnlb/platform/RequestHeaderParser.java
+++ b/node/src/main/java/fawnlb/platform/RequestHeaderParser.java
@@ -1,7 +1,7 @@
 package fawnlb.platform;
 
 import fawnlb.client.AffinityKeys;
-import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.proxy.IncomingRequest;
 import java.util.Map;
 import java.util.function.Function;
--- a/node/src/main/java/fawnlb/proxy/Backends.java
+++ b/node/src/main/java/fawnlb/proxy/Backends.java
@@ -1,6 +1,6 @@
 package fawnlb.proxy;
 
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.AttemptOutcome;
 import fawnlb.stream.AttemptEnd;
 import fawnlb.stream.EndReason;
 import java.util.List;
--- a/node/src/main/java/fawnlb/proxy/RequestProxy.java
+++ b/node/src/main/java/fawnlb/proxy/RequestProxy.java
@@ -1,7 +1,11 @@
 package fawnlb.proxy;
 
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.Idempotency;
 import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.LoadBalancerAction;
+import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
 import fawnlb.metrics.Invariant;
@@ -35,7 +39,7 @@
      */
     static final long SHUTDOWN_ANSWER_DEADLINE_NANOS = 3_200_000_000L;
 
-    private final LoadBalancer.LoadBalancerSettings settings;
+    private final LoadBalancerSettings settings;
     private final LoadBalancer loadBalancer;
     private final Mailbox mailbox;
     private final Timers timers;
@@ -48,7 +52,7 @@
     private volatile boolean admissionStopped;
 
     public RequestProxy(
-            LoadBalancer.LoadBalancerSettings settings,
+            LoadBalancerSettings settings,
             long seed,
             LoadBalancer.Factory loadBalancerFactory,
             Mailbox mailbox,
@@ -153,11 +157,11 @@
     }
 
     /** News of the list, in the order in which it came. */
-    public void onEndpointsUpdated(LoadBalancer.EndpointsUpdated update) {
+    public void onEndpointsUpdated(LoadBalancerEvent.EndpointsUpdated update) {
         mailbox.tellAlways(() -> notifyLoadBalancer(update));
     }
 
-    private void notifyLoadBalancer(LoadBalancer.LoadBalancerEvent event) {
+    private void notifyLoadBalancer(LoadBalancerEvent event) {
         loadBalancer.onEvent(timers.now(), event);
     }
 
@@ -167,7 +171,7 @@
         requests.put(request.id, request);
         openRequests = requests.size();
         armFinalDeadline(request);
-        notifyLoadBalancer(new LoadBalancer.RequestArrived(
+        notifyLoadBalancer(new LoadBalancerEvent.RequestArrived(
                 request.id,
                 incoming.classIndex(),
                 incoming.tenantIndex(),
@@ -192,7 +196,7 @@
         LOG.fine(() -> describe(request) + ": the client has left" + (answerPending ? ", no answer is owed" : ""));
         markAnswered(request);
         if (answerPending) {
-            notifyLoadBalancer(new LoadBalancer.ClientDisconnected(request.id));
+            notifyLoadBalancer(new LoadBalancerEvent.ClientDisconnected(request.id));
         }
         stopAttempt(request, EndReason.CLIENT_DISCONNECTED);
     }
@@ -214,7 +218,7 @@
                     request.client.sendFailure(request.lastAttemptEnd);
                 }
             });
-            notifyLoadBalancer(new LoadBalancer.ClientDisconnected(request.id));
+            notifyLoadBalancer(new LoadBalancerEvent.ClientDisconnected(request.id));
         }
     }
 
@@ -260,10 +264,10 @@
 
     // ---- What the module asks for ---------------------------------------------------------------------
 
-    private void execute(LoadBalancer.LoadBalancerAction action) {
-        if (action instanceof LoadBalancer.StartAttempt a) {
+    private void execute(LoadBalancerAction action) {
+        if (action instanceof LoadBalancerAction.StartAttempt a) {
             startAttempt(a);
-        } else if (action instanceof LoadBalancer.CancelAttempt a) {
+        } else if (action instanceof LoadBalancerAction.CancelAttempt a) {
             ProxiedRequest request = requests.get(a.requestId());
             if (request != null
                     && request.activeAttempt != null
@@ -271,26 +275,27 @@
                     && !request.activeAttempt.responseStarted) {
                 stopAttempt(request, EndReason.CANCELLED);
             }
-        } else if (action instanceof LoadBalancer.RejectRequest a) {
+        } else if (action instanceof LoadBalancerAction.RejectRequest a) {
             rejectRequest(requests.get(a.requestId()), a.retryAfterNanos());
-        } else if (action instanceof LoadBalancer.FailRequest a) {
+        } else if (action instanceof LoadBalancerAction.FailRequest a) {
             ProxiedRequest request = requests.get(a.requestId());
             answerOnce(request, () -> request.client.sendFailure(request.lastAttemptEnd));
-        } else if (action instanceof LoadBalancer.SetTimer a) {
+        } else if (action instanceof LoadBalancerAction.SetTimer a) {
             timers.schedule(
                     a.dueAt() - timers.now(),
-                    () -> mailbox.tellAlways(() -> notifyLoadBalancer(new LoadBalancer.TimerFired(a.token()))));
-        } else if (action instanceof LoadBalancer.WatchEndpoints) {
+                    () -> mailbox.tellAlways(() -> notifyLoadBalancer(new LoadBalancerEvent.TimerFired(a.token()))));
+        } else if (action instanceof LoadBalancerAction.WatchEndpoints) {
             endpointWatch.watchEndpoints();
-        } else if (action instanceof LoadBalancer.FetchEndpoints) {
+        } else if (action instanceof LoadBalancerAction.FetchEndpoints) {
             endpointWatch.fetchEndpoints();
-        } else if (action instanceof LoadBalancer.CheckHealth a) {
+        } else if (action instanceof LoadBalancerAction.CheckHealth a) {
             long startedAt = timers.now();
             backends.checkHealth(
                     a.endpointId(),
-                    (outcome, loadReport) -> mailbox.tellAlways(() -> notifyLoadBalancer(new LoadBalancer.HealthChecked(
-                            a.endpointId(), outcome, timers.now() - startedAt, loadReport))));
-        } else if (action instanceof LoadBalancer.Log a) {
+                    (outcome, loadReport) ->
+                            mailbox.tellAlways(() -> notifyLoadBalancer(new LoadBalancerEvent.HealthChecked(
+                                    a.endpointId(), outcome, timers.now() - startedAt, loadReport))));
+        } else if (action instanceof LoadBalancerAction.Log a) {
             LOG.info(a.text());
         }
     }
@@ -321,7 +326,7 @@
                         : request.incoming.payload().requestId()) + " (flow " + request.id + ')';
     }
 
-    private void startAttempt(LoadBalancer.StartAttempt action) {
+    private void startAttempt(LoadBalancerAction.StartAttempt action) {
         ProxiedRequest request = requests.get(action.requestId());
         // Never an attempt for a flow that is over, a second one beside another, or one more than allowed.
         if (request == null
@@ -334,7 +339,7 @@
                     "another attempt was asked for while one is out");
             int number = request == null ? 0 : request.attemptCount++;
             boolean alreadyAnswered = request == null || request.answered;
-            mailbox.tellAlways(() -> notifyLoadBalancer(new LoadBalancer.AttemptEnded(
+            mailbox.tellAlways(() -> notifyLoadBalancer(new LoadBalancerEvent.AttemptEnded(
                     action.requestId(),
                     number,
                     action.endpointId(),
@@ -359,7 +364,7 @@
                         stopAttempt(request, EndReason.TIMED_OUT);
                     }
                 }));
-        boolean retryPossible = requestClass(request).idempotency() == LoadBalancer.Idempotency.IDEMPOTENT
+        boolean retryPossible = requestClass(request).idempotency() == Idempotency.IDEMPOTENT
                 && request.attemptCount < settings.limits().maxAttempts();
         attempt.backendAttempt = backends.startAttempt(
                 action.endpointId(),
@@ -412,15 +417,14 @@
         }
     }
 
-    private LoadBalancer.RequestClass requestClass(ProxiedRequest request) {
+    private LoadBalancerSettings.RequestClass requestClass(ProxiedRequest request) {
         return settings.requestClass(request.incoming.classIndex());
     }
 
     /** A connect takes its time: a repeat that was decided within the window of a keyed class may be sent behind it. */
     private long sendDeadline(ProxiedRequest request) {
-        LoadBalancer.RequestClass requestClass = requestClass(request);
-        return requestClass.idempotency() == LoadBalancer.Idempotency.IDEMPOTENT
-                        || request.firstPossibleExecutionAt == NEVER
+        LoadBalancerSettings.RequestClass requestClass = requestClass(request);
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT || request.firstPossibleExecutionAt == NEVER
                 ? NEVER
                 : request.firstPossibleExecutionAt
                         + requestClass.idempotencyWindowNanos()
@@ -438,7 +442,7 @@
         request.answered = true;
         request.finalDeadlineTimer.cancel();
         request.client.streamResponse(source);
-        notifyLoadBalancer(new LoadBalancer.ResponseStarted(
+        notifyLoadBalancer(new LoadBalancerEvent.ResponseStarted(
                 request.id, attempt.number, attempt.backend, timers.now() - attempt.startedAt));
     }
 
@@ -453,7 +457,7 @@
         request.answered = true;
         request.finalDeadlineTimer.cancel();
         request.client.streamResponse(source);
-        notifyLoadBalancer(new LoadBalancer.ClientDisconnected(request.id));
+        notifyLoadBalancer(new LoadBalancerEvent.ClientDisconnected(request.id));
     }
 
     /**
@@ -466,7 +470,7 @@
                 && !attempt.clientError
                 && !attempt.clientStalled) {
             attempt.clientStalled = true;
-            notifyLoadBalancer(new LoadBalancer.AttemptEnded(
+            notifyLoadBalancer(new LoadBalancerEvent.AttemptEnded(
                     request.id,
                     attempt.number,
                     attempt.backend,
@@ -496,7 +500,7 @@
             return;
         }
         AttemptOutcome reportedOutcome = attempt.clientError ? AttemptOutcome.CANCELLED : end.outcome();
-        notifyLoadBalancer(new LoadBalancer.AttemptEnded(
+        notifyLoadBalancer(new LoadBalancerEvent.AttemptEnded(
                 request.id,
                 attempt.number,
                 attempt.backend,
--- a/node/src/main/java/fawnlb/restore/RestoredEndpointFilter.java
+++ b/node/src/main/java/fawnlb/restore/RestoredEndpointFilter.java
@@ -1,13 +1,13 @@
 package fawnlb.restore;
 
-import fawnlb.decision.LoadBalancer.AttemptEnded;
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
-import fawnlb.decision.LoadBalancer.Endpoint;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancer.EndpointsUpdated;
-import fawnlb.decision.LoadBalancer.LoadBalancerEvent;
-import fawnlb.decision.LoadBalancer.ResponseStarted;
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.Endpoint;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancerEvent.AttemptEnded;
+import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
+import fawnlb.decision.LoadBalancerEvent.ResponseStarted;
 import fawnlb.filter.EndpointFilter;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/node/src/main/java/fawnlb/simulator/ActionWriter.java
+++ b/node/src/main/java/fawnlb/simulator/ActionWriter.java
@@ -1,6 +1,6 @@
 package fawnlb.simulator;
 
-import fawnlb.decision.LoadBalancer;
+import fawnlb.decision.LoadBalancerAction;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.ByteBuffer;
@@ -31,31 +31,31 @@
         buffer.put((byte) code).putShort((short) instance);
     }
 
-    void writeAction(int instance, LoadBalancer.LoadBalancerAction action) {
-        if (action instanceof LoadBalancer.StartAttempt a) {
+    void writeAction(int instance, LoadBalancerAction action) {
+        if (action instanceof LoadBalancerAction.StartAttempt a) {
             beginRecord(73, instance, 20);
             buffer.putLong(a.requestId()).putInt((int) a.endpointId()).putLong(a.deadline());
-        } else if (action instanceof LoadBalancer.SetTimer a) {
+        } else if (action instanceof LoadBalancerAction.SetTimer a) {
             beginRecord(70, instance, 12);
             buffer.putLong(a.dueAt()).putInt(a.token());
-        } else if (action instanceof LoadBalancer.RejectRequest a) {
+        } else if (action instanceof LoadBalancerAction.RejectRequest a) {
             beginRecord(66, instance, 16);
             buffer.putLong(a.requestId()).putLong(a.retryAfterNanos());
-        } else if (action instanceof LoadBalancer.FailRequest a) {
+        } else if (action instanceof LoadBalancerAction.FailRequest a) {
             beginRecord(68, instance, 8);
             buffer.putLong(a.requestId());
-        } else if (action instanceof LoadBalancer.CancelAttempt a) {
+        } else if (action instanceof LoadBalancerAction.CancelAttempt a) {
             beginRecord(65, instance, 9);
             buffer.putLong(a.requestId()).put((byte) a.attempt());
-        } else if (action instanceof LoadBalancer.WatchEndpoints) {
+        } else if (action instanceof LoadBalancerAction.WatchEndpoints) {
             beginRecord(72, instance, 1);
             buffer.put((byte) 1);
-        } else if (action instanceof LoadBalancer.FetchEndpoints) {
+        } else if (action instanceof LoadBalancerAction.FetchEndpoints) {
             beginRecord(67, instance, 0);
-        } else if (action instanceof LoadBalancer.CheckHealth a) {
+        } else if (action instanceof LoadBalancerAction.CheckHealth a) {
             beginRecord(75, instance, 4);
             buffer.putInt((int) a.endpointId());
-        } else if (action instanceof LoadBalancer.Log a) {
+        } else if (action instanceof LoadBalancerAction.Log a) {
             writeText(74, instance, a.text());
         } else {
             throw new IllegalArgumentException("no wire form for " + action);
--- a/node/src/main/java/fawnlb/simulator/SimulatorHost.java
+++ b/node/src/main/java/fawnlb/simulator/SimulatorHost.java
@@ -1,11 +1,13 @@
 package fawnlb.simulator;
 
 import fawnlb.config.SettingsParser;
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.Endpoint;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
 import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
-import fawnlb.decision.LoadBalancer.Endpoint;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.policy.BoundedLoadBalancer;
 import java.io.IOException;
 import java.io.InputStream;
@@ -68,12 +70,12 @@
             case 2 -> dispatch(instance, readRequestArrived());
             case 3 -> dispatch(instance, readResponseStarted());
             case 4 -> dispatch(instance, readAttemptEnded());
-            case 5 -> dispatch(instance, new LoadBalancer.ClientDisconnected(reader.readLong()));
-            case 6 -> dispatch(instance, new LoadBalancer.TimerFired((int) reader.readUnsignedInt()));
+            case 5 -> dispatch(instance, new LoadBalancerEvent.ClientDisconnected(reader.readLong()));
+            case 6 -> dispatch(instance, new LoadBalancerEvent.TimerFired((int) reader.readUnsignedInt()));
             case 7 ->
                 dispatch(
                         instance,
-                        new LoadBalancer.HealthChecked(
+                        new LoadBalancerEvent.HealthChecked(
                                 reader.readUnsignedInt(),
                                 toAttemptOutcome(reader.readUnsignedByte()),
                                 reader.readLong(),
@@ -81,13 +83,13 @@
             case 8 ->
                 dispatch(
                         instance,
-                        new LoadBalancer.PeerMessage(
+                        new LoadBalancerEvent.PeerMessage(
                                 reader.readUnsignedInt(), reader.readBytes(reader.readUnsignedShort())));
             default -> throw reader.malformed("unknown record code " + code, position);
         }
     }
 
-    private void dispatch(int instance, LoadBalancer.LoadBalancerEvent event) {
+    private void dispatch(int instance, LoadBalancerEvent event) {
         LoadBalancer loadBalancer = instances.get(instance);
         if (loadBalancer == null) {
             return;
@@ -106,7 +108,7 @@
         long seed = reader.readLong();
         String settingsText = reader.readText(reader.readCount(1));
         SettingsParser parser = new SettingsParser(settingsText);
-        LoadBalancer.LoadBalancerSettings settings = parser.parse();
+        LoadBalancerSettings settings = parser.parse();
         parser.warnings().forEach(System.err::println);
         instances.put(
                 instance, loadBalancerFactory.create(settings, seed, action -> writer.writeAction(instance, action)));
@@ -134,7 +136,7 @@
         endpointLists.set(listNumber, List.copyOf(endpoints));
     }
 
-    private LoadBalancer.EndpointsUpdated readEndpointsUpdated(long position) throws IOException {
+    private LoadBalancerEvent.EndpointsUpdated readEndpointsUpdated(long position) throws IOException {
         int kindCode = reader.readUnsignedByte();
         long version = reader.readLong();
         int listNumber = reader.readUnsignedShort();
@@ -143,15 +145,15 @@
         }
         EndpointUpdateKind kind = EndpointUpdateKind.values()[kindCode];
         if (kind == EndpointUpdateKind.FAILED) {
-            return new LoadBalancer.EndpointsUpdated(kind, version, List.of());
+            return new LoadBalancerEvent.EndpointsUpdated(kind, version, List.of());
         }
         if (listNumber >= MAX_ENDPOINT_LISTS || endpointLists.get(listNumber) == null) {
             throw reader.malformed("unknown list number " + listNumber, position);
         }
-        return new LoadBalancer.EndpointsUpdated(kind, version, endpointLists.get(listNumber));
+        return new LoadBalancerEvent.EndpointsUpdated(kind, version, endpointLists.get(listNumber));
     }
 
-    private LoadBalancer.RequestArrived readRequestArrived() throws IOException {
+    private LoadBalancerEvent.RequestArrived readRequestArrived() throws IOException {
         long id = reader.readLong();
         int requestClass = reader.readUnsignedShort();
         int tenant = (int) reader.readUnsignedInt();
@@ -163,7 +165,7 @@
         double sharedPrefixTokens = reader.readFloat();
         double maxOutputTokens = reader.readFloat();
         int flags = reader.readUnsignedByte();
-        return new LoadBalancer.RequestArrived(
+        return new LoadBalancerEvent.RequestArrived(
                 id,
                 requestClass,
                 tenant,
@@ -179,14 +181,14 @@
                 (flags & FLAG_RESUMED) != 0);
     }
 
-    private LoadBalancer.ResponseStarted readResponseStarted() throws IOException {
+    private LoadBalancerEvent.ResponseStarted readResponseStarted() throws IOException {
         long id = reader.readLong();
         int attempt = reader.readUnsignedByte();
         long endpoint = reader.readUnsignedInt();
-        return new LoadBalancer.ResponseStarted(id, attempt, endpoint, reader.readLong());
+        return new LoadBalancerEvent.ResponseStarted(id, attempt, endpoint, reader.readLong());
     }
 
-    private LoadBalancer.AttemptEnded readAttemptEnded() throws IOException {
+    private LoadBalancerEvent.AttemptEnded readAttemptEnded() throws IOException {
         long id = reader.readLong();
         long elapsedNanos = reader.readLong();
         int attempt = reader.readUnsignedByte();
@@ -194,7 +196,7 @@
         long endpoint = reader.readUnsignedInt();
         boolean isRequestOver = reader.readUnsignedByte() != 0;
         long cachedTokens = reader.readUnsignedInt();
-        return new LoadBalancer.AttemptEnded(
+        return new LoadBalancerEvent.AttemptEnded(
                 id, attempt, endpoint, outcome, isRequestOver, elapsedNanos, cachedTokens, readLoadReport());
     }
 
--- a/node/src/main/java/fawnlb/snapshot/SnapshotRecorder.java
+++ b/node/src/main/java/fawnlb/snapshot/SnapshotRecorder.java
@@ -1,10 +1,10 @@
 package fawnlb.snapshot;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancer.EndpointsUpdated;
-import fawnlb.decision.LoadBalancer.LoadBalancerEvent;
-import fawnlb.decision.LoadBalancer.ResponseStarted;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
+import fawnlb.decision.LoadBalancerEvent.ResponseStarted;
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.discovery.EndpointList;
 import fawnlb.eventloop.Mailbox;
--- a/node/src/main/java/fawnlb/stream/AttemptEnd.java
+++ b/node/src/main/java/fawnlb/stream/AttemptEnd.java
@@ -1,6 +1,6 @@
 package fawnlb.stream;
 
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.AttemptOutcome;
 
 /** An end and where it struck: the one name that the log, the syslog record and the client's answer use. */
 public record AttemptEnd(EndReason reason, ResponseProgress progress) {
--- a/node/src/main/java/fawnlb/stream/EndReason.java
+++ b/node/src/main/java/fawnlb/stream/EndReason.java
@@ -1,6 +1,6 @@
 package fawnlb.stream;
 
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.AttemptOutcome;
 
 /** How an attempt and its stream can end: its name, and what the decision module hears of it. */
 public enum EndReason {
--- a/node/src/test/java/fawnlb/backend/BackendPoolTest.java
+++ b/node/src/test/java/fawnlb/backend/BackendPoolTest.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import fawnlb.eventloop.EventLoopTimers;
 import fawnlb.proxy.Backends;
 import fawnlb.proxy.IncomingRequest;
--- a/node/src/test/java/fawnlb/cli/StartWithoutDiscoveryTest.java
+++ b/node/src/test/java/fawnlb/cli/StartWithoutDiscoveryTest.java
@@ -7,7 +7,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.snapshot.Snapshot;
 import fawnlb.snapshot.SnapshotStore;
--- a/node/src/test/java/fawnlb/discovery/EndpointListCodecTest.java
+++ b/node/src/test/java/fawnlb/discovery/EndpointListCodecTest.java
@@ -4,7 +4,7 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import java.io.IOException;
 import java.util.List;
 import org.junit.Test;
--- a/node/src/test/java/fawnlb/discovery/EndpointStartTimesTest.java
+++ b/node/src/test/java/fawnlb/discovery/EndpointStartTimesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import java.util.List;
 import org.junit.Test;
 
--- a/node/src/test/java/fawnlb/discovery/NotificationDeadlineTest.java
+++ b/node/src/test/java/fawnlb/discovery/NotificationDeadlineTest.java
@@ -2,12 +2,16 @@
 
 import static org.junit.Assert.assertTrue;
 
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.decision.Idempotency;
+import fawnlb.decision.IdempotencyScope;
 import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancer.EndpointsUpdated;
-import fawnlb.decision.LoadBalancer.SetTimer;
-import fawnlb.decision.LoadBalancer.TimerFired;
-import fawnlb.decision.LoadBalancer.WatchEndpoints;
+import fawnlb.decision.LoadBalancerAction;
+import fawnlb.decision.LoadBalancerAction.SetTimer;
+import fawnlb.decision.LoadBalancerAction.WatchEndpoints;
+import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
+import fawnlb.decision.LoadBalancerEvent.TimerFired;
+import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.membership.SubscriptionSchedule;
 import fawnlb.policy.BoundedLoadBalancer;
 import java.util.ArrayList;
@@ -48,9 +52,9 @@
         private long now = 100 * NANOS_PER_SECOND;
 
         SimulatedInstance(int instanceCount, long pollDeadlineNanos, long seed) {
-            LoadBalancer.RequestClass type = new LoadBalancer.RequestClass(
-                    LoadBalancer.Idempotency.IDEMPOTENT,
-                    LoadBalancer.IdempotencyScope.ALL,
+            LoadBalancerSettings.RequestClass type = new LoadBalancerSettings.RequestClass(
+                    Idempotency.IDEMPOTENT,
+                    IdempotencyScope.ALL,
                     0,
                     NANOS_PER_SECOND,
                     0,
@@ -60,32 +64,32 @@
                     0,
                     true);
             loadBalancer = new BoundedLoadBalancer(
-                    new LoadBalancer.LoadBalancerSettings(
+                    new LoadBalancerSettings(
                             0,
                             instanceCount,
                             0,
                             NANOS_PER_SECOND / 1000,
                             false,
-                            LoadBalancer.DiscoveryMode.WATCHED,
-                            LoadBalancer.LoadReporting.NONE,
+                            LoadBalancerSettings.DiscoveryMode.WATCHED,
+                            LoadBalancerSettings.LoadReporting.NONE,
                             List.of(),
                             List.of(type),
                             List.of(),
-                            new LoadBalancer.Limits(4, 1000, false, true, false, false, NANOS_PER_SECOND),
-                            new LoadBalancer.EndpointLifecycle(
+                            new LoadBalancerSettings.Limits(4, 1000, false, true, false, false, NANOS_PER_SECOND),
+                            new LoadBalancerSettings.EndpointLifecycle(
                                     NANOS_PER_SECOND,
                                     pollDeadlineNanos,
                                     0.3,
                                     9 * NANOS_PER_SECOND,
                                     2.5,
                                     NANOS_PER_SECOND),
-                            new LoadBalancer.Costs(0, 0)),
+                            new LoadBalancerSettings.Costs(0, 0)),
                     seed,
                     this::onAction);
             receive(EndpointUpdateKind.CACHED);
         }
 
-        private void onAction(LoadBalancer.LoadBalancerAction action) {
+        private void onAction(LoadBalancerAction action) {
             if (action instanceof SetTimer timer) {
                 pendingTimers.add(timer);
             } else if (action instanceof WatchEndpoints) {
--- a/node/src/test/java/fawnlb/discovery/WatchHeartbeatTest.java
+++ b/node/src/test/java/fawnlb/discovery/WatchHeartbeatTest.java
@@ -4,7 +4,7 @@
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import fawnlb.decision.EndpointUpdateKind;
 import fawnlb.eventloop.EventLoopCall;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
--- a/node/src/test/java/fawnlb/membership/ThrottledDiscoveryTest.java
+++ b/node/src/test/java/fawnlb/membership/ThrottledDiscoveryTest.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import fawnlb.decision.EndpointUpdateKind;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/node/src/test/java/fawnlb/policy/ActionDigest.java
+++ b/node/src/test/java/fawnlb/policy/ActionDigest.java
@@ -1,7 +1,6 @@
 package fawnlb.policy;
 
-import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.LoadBalancerAction;
+import fawnlb.decision.LoadBalancerAction;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -37,23 +36,23 @@
 
     void add(long now, LoadBalancerAction action) {
         actions++;
-        if (action instanceof LoadBalancer.StartAttempt start) {
+        if (action instanceof LoadBalancerAction.StartAttempt start) {
             put(now, START_ATTEMPT, start.requestId(), start.endpointId(), start.deadline());
-        } else if (action instanceof LoadBalancer.CancelAttempt cancel) {
+        } else if (action instanceof LoadBalancerAction.CancelAttempt cancel) {
             put(now, CANCEL_ATTEMPT, cancel.requestId(), cancel.attempt());
-        } else if (action instanceof LoadBalancer.RejectRequest reject) {
+        } else if (action instanceof LoadBalancerAction.RejectRequest reject) {
             put(now, REJECT_REQUEST, reject.requestId(), reject.retryAfterNanos());
-        } else if (action instanceof LoadBalancer.FailRequest fail) {
+        } else if (action instanceof LoadBalancerAction.FailRequest fail) {
             put(now, FAIL_REQUEST, fail.requestId());
-        } else if (action instanceof LoadBalancer.SetTimer timer) {
+        } else if (action instanceof LoadBalancerAction.SetTimer timer) {
             put(now, SET_TIMER, timer.dueAt(), timer.token());
-        } else if (action instanceof LoadBalancer.WatchEndpoints) {
+        } else if (action instanceof LoadBalancerAction.WatchEndpoints) {
             put(now, WATCH_ENDPOINTS);
-        } else if (action instanceof LoadBalancer.FetchEndpoints) {
+        } else if (action instanceof LoadBalancerAction.FetchEndpoints) {
             put(now, FETCH_ENDPOINTS);
-        } else if (action instanceof LoadBalancer.CheckHealth check) {
+        } else if (action instanceof LoadBalancerAction.CheckHealth check) {
             put(now, CHECK_HEALTH, check.endpointId());
-        } else if (action instanceof LoadBalancer.Log log) {
+        } else if (action instanceof LoadBalancerAction.Log log) {
             put(now, LOG);
             digest.update(log.text().getBytes(StandardCharsets.UTF_8));
         }
--- a/node/src/test/java/fawnlb/policy/EndpointSelectionTest.java
+++ b/node/src/test/java/fawnlb/policy/EndpointSelectionTest.java
@@ -5,10 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.decision.Idempotency;
+import fawnlb.decision.IdempotencyScope;
+import fawnlb.decision.LoadBalancerSettings;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -163,10 +165,10 @@
         LoadBalancerHarness free =
                 new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(12);
         LoadBalancerHarness priced = new LoadBalancerHarness(LoadBalancerHarness.settings(
-                        LoadBalancer.Idempotency.IDEMPOTENT,
-                        LoadBalancer.IdempotencyScope.ALL,
-                        LoadBalancer.DiscoveryMode.PUSHED,
-                        new LoadBalancer.Costs(0.08, 0.05)))
+                        Idempotency.IDEMPOTENT,
+                        IdempotencyScope.ALL,
+                        LoadBalancerSettings.DiscoveryMode.PUSHED,
+                        new LoadBalancerSettings.Costs(0.08, 0.05)))
                 .withReadyEndpoints(12);
         long freeNear =
                 LongStream.of(primaryEndpoints(free)).filter(id -> id % 3 == 0).count();
--- a/node/src/test/java/fawnlb/policy/FleetTest.java
+++ b/node/src/test/java/fawnlb/policy/FleetTest.java
@@ -2,15 +2,18 @@
 
 import static org.junit.Assert.assertTrue;
 
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.Endpoint;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
 import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.AttemptEnded;
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
-import fawnlb.decision.LoadBalancer.Endpoint;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancer.EndpointsUpdated;
-import fawnlb.decision.LoadBalancer.ResponseStarted;
-import fawnlb.decision.LoadBalancer.StartAttempt;
+import fawnlb.decision.LoadBalancerAction;
+import fawnlb.decision.LoadBalancerAction.StartAttempt;
+import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancerEvent.AttemptEnded;
+import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
+import fawnlb.decision.LoadBalancerEvent.ResponseStarted;
+import fawnlb.decision.LoadBalancerSettings;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -73,7 +76,12 @@
                     LoadBalancerHarness.idempotentSettings().endpointLifecycle());
         }
 
-        Fleet(int instances, int endpoints, long seed, int slowInFive, LoadBalancer.EndpointLifecycle lifecycle) {
+        Fleet(
+                int instances,
+                int endpoints,
+                long seed,
+                int slowInFive,
+                LoadBalancerSettings.EndpointLifecycle lifecycle) {
             this.endpoints = endpoints;
             this.slowEndpointsInFive = slowInFive;
             random = new SplittableRandom(seed);
@@ -84,7 +92,11 @@
 
         /** A module that has met nothing but the list, in which the first replica started at this time. */
         BoundedLoadBalancer newLoadBalancer(
-                int instances, int instanceIndex, long seed, LoadBalancer.EndpointLifecycle lifecycle, long firstAt) {
+                int instances,
+                int instanceIndex,
+                long seed,
+                LoadBalancerSettings.EndpointLifecycle lifecycle,
+                long firstAt) {
             BoundedLoadBalancer loadBalancer = new BoundedLoadBalancer(
                     LoadBalancerHarness.instanceSettings(instances, instanceIndex, lifecycle),
                     seed + instanceIndex,
@@ -167,7 +179,7 @@
                         .get(random.nextInt(most))
                         .onEvent(
                                 now,
-                                new LoadBalancer.RequestArrived(
+                                new LoadBalancerEvent.RequestArrived(
                                         id,
                                         0,
                                         0,
@@ -267,21 +279,21 @@
      */
     @Test
     public void instancesTogetherDoNotOverloadAnEndpointInSlowStart() {
-        LoadBalancer.EndpointLifecycle[] figures = {
-            new LoadBalancer.EndpointLifecycle(
+        LoadBalancerSettings.EndpointLifecycle[] figures = {
+            new LoadBalancerSettings.EndpointLifecycle(
                     750 * MS, 10 * LoadBalancerHarness.S, 0.36, 8900 * MS, 4, 3 * LoadBalancerHarness.S),
-            new LoadBalancer.EndpointLifecycle(
+            new LoadBalancerSettings.EndpointLifecycle(
                     LoadBalancerHarness.S,
                     10 * LoadBalancerHarness.S,
                     0.12,
                     24 * LoadBalancerHarness.S,
                     2.5,
                     2 * LoadBalancerHarness.S),
-            new LoadBalancer.EndpointLifecycle(
+            new LoadBalancerSettings.EndpointLifecycle(
                     500 * MS, 10 * LoadBalancerHarness.S, 0.5, 5 * LoadBalancerHarness.S, 3, LoadBalancerHarness.S)
         };
         int[][] cases = {{2, 12}, {6, 12}, {20, 12}, {30, 14}, {100, 52}};
-        for (LoadBalancer.EndpointLifecycle lifecycle : figures) {
+        for (LoadBalancerSettings.EndpointLifecycle lifecycle : figures) {
             for (int[] size : cases) {
                 for (long seed = 1; seed <= 8; seed++) {
                     for (Window window : attemptsDuringSlowStart(size[0], size[1], seed, lifecycle, 1)) {
@@ -305,7 +317,7 @@
      * s; one window for each request that it was sent.
      */
     private static List<Window> attemptsDuringSlowStart(
-            int instances, int endpoints, long seed, LoadBalancer.EndpointLifecycle lifecycle, double rate) {
+            int instances, int endpoints, long seed, LoadBalancerSettings.EndpointLifecycle lifecycle, double rate) {
         String what = instances + " routers, " + endpoints + " replicas, seed " + seed + ", " + lifecycle;
         long[] prefix = LongStream.rangeClosed(1, 40).map(i -> i * 7919).toArray();
         Fleet fleet = new Fleet(instances, endpoints, seed, 0, lifecycle);
@@ -373,19 +385,19 @@
      */
     @Test
     public void slowStartHoldsWhereAnEvenShareWouldOverload() {
-        LoadBalancer.EndpointLifecycle[] figures = {
-            new LoadBalancer.EndpointLifecycle(
+        LoadBalancerSettings.EndpointLifecycle[] figures = {
+            new LoadBalancerSettings.EndpointLifecycle(
                     750 * MS,
                     10 * LoadBalancerHarness.S,
                     0.1,
                     9 * LoadBalancerHarness.S,
                     2.5,
                     2 * LoadBalancerHarness.S),
-            new LoadBalancer.EndpointLifecycle(
+            new LoadBalancerSettings.EndpointLifecycle(
                     500 * MS, 10 * LoadBalancerHarness.S, 0.15, 12 * LoadBalancerHarness.S, 2, LoadBalancerHarness.S)
         };
         int[][] cases = {{1, 6}, {2, 8}, {3, 12}, {30, 12}, {120, 24}};
-        for (LoadBalancer.EndpointLifecycle lifecycle : figures) {
+        for (LoadBalancerSettings.EndpointLifecycle lifecycle : figures) {
             for (int[] size : cases) {
                 for (long seed = 1; seed <= 4; seed++) {
                     for (Window window : attemptsDuringSlowStart(size[0], size[1], seed, lifecycle, 10)) {
@@ -423,7 +435,7 @@
                 for (long key = 1; key <= 20; key++) {
                     loadBalancer.onEvent(
                             now,
-                            new LoadBalancer.RequestArrived(
+                            new LoadBalancerEvent.RequestArrived(
                                     key, 0, 0, key, 0, 4 * LoadBalancerHarness.S, 0, 500, 0, 200, false, false, false));
                 }
                 // One warm replica takes all; of two cold ones each gets one, and rests.
@@ -481,12 +493,12 @@
             for (int i = 0; i < instances; i++) {
                 LoadBalancer[] module = new LoadBalancer[1];
                 module[0] = new BoundedLoadBalancer(LoadBalancerHarness.watchingSettings(instances, i), i, action -> {
-                    if (action instanceof LoadBalancer.SetTimer timer) {
+                    if (action instanceof LoadBalancerAction.SetTimer timer) {
                         queue.add(new Due(
                                 timer.dueAt(),
                                 clock[1]++,
-                                () -> module[0].onEvent(clock[0], new LoadBalancer.TimerFired(timer.token()))));
-                    } else if (action instanceof LoadBalancer.WatchEndpoints) {
+                                () -> module[0].onEvent(clock[0], new LoadBalancerEvent.TimerFired(timer.token()))));
+                    } else if (action instanceof LoadBalancerAction.WatchEndpoints) {
                         calls.merge(clock[0] / LoadBalancerHarness.S, 1, Integer::sum);
                         queue.add(new Due(
                                 clock[0] + MS,
@@ -521,14 +533,14 @@
         long first = Long.MAX_VALUE;
         long last = 0;
         for (int i = 0; i < 100; i++) {
-            List<LoadBalancer.LoadBalancerAction> actions = new ArrayList<>();
+            List<LoadBalancerAction> actions = new ArrayList<>();
             BoundedLoadBalancer loadBalancer =
                     new BoundedLoadBalancer(LoadBalancerHarness.watchingSettings(100, i), i, actions::add);
             loadBalancer.onEvent(now, new EndpointsUpdated(EndpointUpdateKind.CACHED, 1, List.of()));
             loadBalancer.onEvent(now, new EndpointsUpdated(EndpointUpdateKind.DELTA, 1, List.of()));
             actions.clear();
             loadBalancer.onEvent(now, new EndpointsUpdated(EndpointUpdateKind.FAILED, 0, List.of()));
-            long at = ((LoadBalancer.SetTimer) actions.get(0)).dueAt() - now;
+            long at = ((LoadBalancerAction.SetTimer) actions.get(0)).dueAt() - now;
             first = Math.min(first, at);
             last = Math.max(last, at);
         }
--- a/node/src/test/java/fawnlb/policy/LoadAdaptationTest.java
+++ b/node/src/test/java/fawnlb/policy/LoadAdaptationTest.java
@@ -7,12 +7,15 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancer.RejectRequest;
-import fawnlb.decision.LoadBalancer.StartAttempt;
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.Endpoint;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.decision.Idempotency;
+import fawnlb.decision.IdempotencyScope;
+import fawnlb.decision.LoadBalancerAction.RejectRequest;
+import fawnlb.decision.LoadBalancerAction.StartAttempt;
+import fawnlb.decision.LoadBalancerSettings;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -62,7 +65,7 @@
                     EndpointUpdateKind.FULL,
                     java.util.stream.LongStream.rangeClosed(1, 40)
                             .mapToObj(id -> endpoint(id, EndpointPhase.READY, 0, (int) (id % several)))
-                            .toArray(LoadBalancer.Endpoint[]::new));
+                            .toArray(Endpoint[]::new));
             Set<Long> unreachable = new HashSet<>();
             for (long session = 1; unreachable.size() < 3; session++) {
                 harness.arrive(0, session);
@@ -177,7 +180,7 @@
                 EndpointUpdateKind.FULL,
                 java.util.stream.LongStream.rangeClosed(1, 14)
                         .mapToObj(id -> endpoint(id, EndpointPhase.READY, start + id * S, 0))
-                        .toArray(LoadBalancer.Endpoint[]::new));
+                        .toArray(Endpoint[]::new));
         int before = attemptsOn(harness, 3, 100 * MS);
         harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(1, EndpointPhase.DRAINING, start + S, 0));
         harness.now += 2 * S;
@@ -200,8 +203,8 @@
         harness.endAttempt(first, 0, AttemptOutcome.TIMEOUT, false, S / 2);
         assertNotEquals(first.endpointId(), harness.lastAttempt().endpointId());
         assertEquals(harness.now + S / 2, harness.lastAttempt().deadline());
-        LoadBalancerHarness unsafe = new LoadBalancerHarness(LoadBalancerHarness.settings(
-                        LoadBalancer.Idempotency.NOT_IDEMPOTENT, LoadBalancer.IdempotencyScope.ALL))
+        LoadBalancerHarness unsafe = new LoadBalancerHarness(
+                        LoadBalancerHarness.settings(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL))
                 .withReadyEndpoints(5);
         unsafe.arrive(0, 8);
         assertTrue(unsafe.lastAttempt().deadline() >= unsafe.now + S);
@@ -262,8 +265,8 @@
 
     @Test
     void tenantAboveItsShareIsShedFirst() {
-        LoadBalancer.LoadBalancerSettings base = LoadBalancerHarness.idempotentSettings();
-        LoadBalancerHarness harness = new LoadBalancerHarness(new LoadBalancer.LoadBalancerSettings(
+        LoadBalancerSettings base = LoadBalancerHarness.idempotentSettings();
+        LoadBalancerHarness harness = new LoadBalancerHarness(new LoadBalancerSettings(
                         0,
                         1,
                         0,
@@ -273,7 +276,7 @@
                         base.loadReporting(),
                         List.of(),
                         base.requestClasses(),
-                        List.of(new LoadBalancer.Tenant(0.5, 1), new LoadBalancer.Tenant(0.5, 1)),
+                        List.of(new LoadBalancerSettings.Tenant(0.5, 1), new LoadBalancerSettings.Tenant(0.5, 1)),
                         base.limits(),
                         base.endpointLifecycle(),
                         base.costs()))
--- a/node/src/test/java/fawnlb/policy/LoadBalancerHarness.java
+++ b/node/src/test/java/fawnlb/policy/LoadBalancerHarness.java
@@ -1,24 +1,24 @@
 package fawnlb.policy;
 
-import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.AttemptEnded;
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
-import fawnlb.decision.LoadBalancer.Costs;
-import fawnlb.decision.LoadBalancer.DiscoveryMode;
-import fawnlb.decision.LoadBalancer.Endpoint;
-import fawnlb.decision.LoadBalancer.EndpointLifecycle;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancer.EndpointsUpdated;
-import fawnlb.decision.LoadBalancer.Idempotency;
-import fawnlb.decision.LoadBalancer.IdempotencyScope;
-import fawnlb.decision.LoadBalancer.Limits;
-import fawnlb.decision.LoadBalancer.LoadBalancerAction;
-import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
-import fawnlb.decision.LoadBalancer.LoadReporting;
-import fawnlb.decision.LoadBalancer.RequestArrived;
-import fawnlb.decision.LoadBalancer.RequestClass;
-import fawnlb.decision.LoadBalancer.StartAttempt;
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.Endpoint;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.decision.Idempotency;
+import fawnlb.decision.IdempotencyScope;
+import fawnlb.decision.LoadBalancerAction;
+import fawnlb.decision.LoadBalancerAction.StartAttempt;
+import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancerEvent.AttemptEnded;
+import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
+import fawnlb.decision.LoadBalancerEvent.RequestArrived;
+import fawnlb.decision.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancerSettings.Costs;
+import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
+import fawnlb.decision.LoadBalancerSettings.EndpointLifecycle;
+import fawnlb.decision.LoadBalancerSettings.Limits;
+import fawnlb.decision.LoadBalancerSettings.LoadReporting;
+import fawnlb.decision.LoadBalancerSettings.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.LongStream;
@@ -167,7 +167,7 @@
 
     void startResponse(StartAttempt send, int attempt, long elapsedNanos) {
         loadBalancer.onEvent(
-                now, new LoadBalancer.ResponseStarted(send.requestId(), attempt, send.endpointId(), elapsedNanos));
+                now, new LoadBalancerEvent.ResponseStarted(send.requestId(), attempt, send.endpointId(), elapsedNanos));
     }
 
     <T extends LoadBalancerAction> List<T> actionsOf(Class<T> kind) {
--- a/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
+++ b/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
@@ -2,23 +2,23 @@
 
 import static org.junit.Assert.assertEquals;
 
-import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
-import fawnlb.decision.LoadBalancer.Costs;
-import fawnlb.decision.LoadBalancer.DiscoveryMode;
-import fawnlb.decision.LoadBalancer.Endpoint;
-import fawnlb.decision.LoadBalancer.EndpointLifecycle;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancer.Idempotency;
-import fawnlb.decision.LoadBalancer.IdempotencyScope;
-import fawnlb.decision.LoadBalancer.Limits;
-import fawnlb.decision.LoadBalancer.LoadBalancerSettings;
-import fawnlb.decision.LoadBalancer.LoadReporting;
-import fawnlb.decision.LoadBalancer.RequestArrived;
-import fawnlb.decision.LoadBalancer.RequestClass;
-import fawnlb.decision.LoadBalancer.Tenant;
-import fawnlb.decision.LoadBalancer.TimerFired;
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.Endpoint;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.decision.Idempotency;
+import fawnlb.decision.IdempotencyScope;
+import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancerEvent.RequestArrived;
+import fawnlb.decision.LoadBalancerEvent.TimerFired;
+import fawnlb.decision.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancerSettings.Costs;
+import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
+import fawnlb.decision.LoadBalancerSettings.EndpointLifecycle;
+import fawnlb.decision.LoadBalancerSettings.Limits;
+import fawnlb.decision.LoadBalancerSettings.LoadReporting;
+import fawnlb.decision.LoadBalancerSettings.RequestClass;
+import fawnlb.decision.LoadBalancerSettings.Tenant;
 import fawnlb.policy.SimulatedHost.Behavior;
 import fawnlb.policy.SimulatedHost.Traffic;
 import java.util.List;
@@ -411,13 +411,13 @@
                         true,
                         true));
             }
-            host.tell(new LoadBalancer.AttemptEnded(id, 3, 1, AttemptOutcome.SERVED, true, 1, 0, List.of()));
-            host.tell(new LoadBalancer.ResponseStarted(id, 3, 1, 1));
-            host.tell(new LoadBalancer.AttemptEnded(5, 0, 1, AttemptOutcome.SERVED, true, 1, 0, List.of()));
-            host.tell(new LoadBalancer.ResponseStarted(5, 0, 1, 1));
-            host.tell(new LoadBalancer.ClientDisconnected(5));
-            host.tell(new LoadBalancer.PeerMessage(1, new byte[3]));
-            host.tell(new LoadBalancer.HealthChecked(1, AttemptOutcome.SERVED, 1, List.of(Double.NaN)));
+            host.tell(new LoadBalancerEvent.AttemptEnded(id, 3, 1, AttemptOutcome.SERVED, true, 1, 0, List.of()));
+            host.tell(new LoadBalancerEvent.ResponseStarted(id, 3, 1, 1));
+            host.tell(new LoadBalancerEvent.AttemptEnded(5, 0, 1, AttemptOutcome.SERVED, true, 1, 0, List.of()));
+            host.tell(new LoadBalancerEvent.ResponseStarted(5, 0, 1, 1));
+            host.tell(new LoadBalancerEvent.ClientDisconnected(5));
+            host.tell(new LoadBalancerEvent.PeerMessage(1, new byte[3]));
+            host.tell(new LoadBalancerEvent.HealthChecked(1, AttemptOutcome.SERVED, 1, List.of(Double.NaN)));
             host.tell(new TimerFired(-7));
             host.play(100 * MS, Traffic.steady(100));
         }
--- a/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
+++ b/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
@@ -6,20 +6,22 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
-import fawnlb.decision.LoadBalancer.Costs;
-import fawnlb.decision.LoadBalancer.DiscoveryMode;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancer.FailRequest;
-import fawnlb.decision.LoadBalancer.Idempotency;
-import fawnlb.decision.LoadBalancer.IdempotencyScope;
-import fawnlb.decision.LoadBalancer.RejectRequest;
-import fawnlb.decision.LoadBalancer.RequestArrived;
-import fawnlb.decision.LoadBalancer.StartAttempt;
-import fawnlb.decision.LoadBalancer.TimerFired;
-import fawnlb.decision.LoadBalancer.WatchEndpoints;
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.decision.Idempotency;
+import fawnlb.decision.IdempotencyScope;
+import fawnlb.decision.LoadBalancerAction;
+import fawnlb.decision.LoadBalancerAction.FailRequest;
+import fawnlb.decision.LoadBalancerAction.RejectRequest;
+import fawnlb.decision.LoadBalancerAction.StartAttempt;
+import fawnlb.decision.LoadBalancerAction.WatchEndpoints;
+import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancerEvent.RequestArrived;
+import fawnlb.decision.LoadBalancerEvent.TimerFired;
+import fawnlb.decision.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancerSettings.Costs;
+import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
@@ -128,11 +130,11 @@
         LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings())
                 .updateEndpoints(EndpointUpdateKind.CACHED);
         harness.arrive(1, 2);
-        assertEquals(1, harness.actionsOf(LoadBalancer.SetTimer.class).size());
+        assertEquals(1, harness.actionsOf(LoadBalancerAction.SetTimer.class).size());
         long end = harness.now + 4 * S;
         while (harness.actionsOf(RejectRequest.class).isEmpty() && harness.now < end) {
-            LoadBalancer.SetTimer timer = harness.actionsOf(LoadBalancer.SetTimer.class)
-                    .get(harness.actionsOf(LoadBalancer.SetTimer.class).size() - 1);
+            LoadBalancerAction.SetTimer timer = harness.actionsOf(LoadBalancerAction.SetTimer.class)
+                    .get(harness.actionsOf(LoadBalancerAction.SetTimer.class).size() - 1);
             harness.now = timer.dueAt();
             harness.loadBalancer.onEvent(harness.now, new TimerFired(timer.token()));
         }
@@ -173,11 +175,11 @@
         StartAttempt stranger = new StartAttempt(55, 1, 0);
         harness.endAttempt(stranger, 0, AttemptOutcome.SERVED, true);
         harness.startResponse(stranger, 3, 1);
-        harness.loadBalancer.onEvent(harness.now, new LoadBalancer.ClientDisconnected(55));
+        harness.loadBalancer.onEvent(harness.now, new LoadBalancerEvent.ClientDisconnected(55));
         harness.loadBalancer.onEvent(harness.now, new TimerFired(-7));
-        harness.loadBalancer.onEvent(harness.now, new LoadBalancer.PeerMessage(1, new byte[3]));
+        harness.loadBalancer.onEvent(harness.now, new LoadBalancerEvent.PeerMessage(1, new byte[3]));
         harness.loadBalancer.onEvent(
-                harness.now, new LoadBalancer.HealthChecked(1, AttemptOutcome.SERVED, 1, List.of(Double.NaN)));
+                harness.now, new LoadBalancerEvent.HealthChecked(1, AttemptOutcome.SERVED, 1, List.of(Double.NaN)));
         assertEquals(List.of(), harness.actions);
     }
 
@@ -235,10 +237,11 @@
 
     @Test
     void clientDisconnectCancelsItsAttemptOnlyWhereAllowed() {
-        LoadBalancer.LoadBalancerSettings base = LoadBalancerHarness.idempotentSettings();
+        LoadBalancerSettings base = LoadBalancerHarness.idempotentSettings();
         for (boolean allowed : new boolean[] {true, false}) {
-            LoadBalancer.Limits limits = new LoadBalancer.Limits(4, 1000, false, allowed, false, false, 0);
-            LoadBalancerHarness harness = new LoadBalancerHarness(new LoadBalancer.LoadBalancerSettings(
+            LoadBalancerSettings.Limits limits =
+                    new LoadBalancerSettings.Limits(4, 1000, false, allowed, false, false, 0);
+            LoadBalancerHarness harness = new LoadBalancerHarness(new LoadBalancerSettings(
                             0,
                             1,
                             0,
@@ -254,10 +257,10 @@
                             base.costs()))
                     .withReadyEndpoints(4);
             long id = harness.arrive(0, 5);
-            harness.loadBalancer.onEvent(harness.now, new LoadBalancer.ClientDisconnected(id));
+            harness.loadBalancer.onEvent(harness.now, new LoadBalancerEvent.ClientDisconnected(id));
             assertEquals(
                     allowed ? 1 : 0,
-                    harness.actionsOf(LoadBalancer.CancelAttempt.class).size());
+                    harness.actionsOf(LoadBalancerAction.CancelAttempt.class).size());
             harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.CANCELLED, true);
             assertEquals(1, harness.startedAttempts().size());
         }
@@ -325,8 +328,8 @@
     }
 
     private static void fireLastTimer(LoadBalancerHarness harness) {
-        LoadBalancer.SetTimer timer = harness.actionsOf(LoadBalancer.SetTimer.class)
-                .get(harness.actionsOf(LoadBalancer.SetTimer.class).size() - 1);
+        LoadBalancerAction.SetTimer timer = harness.actionsOf(LoadBalancerAction.SetTimer.class)
+                .get(harness.actionsOf(LoadBalancerAction.SetTimer.class).size() - 1);
         assertTrue(timer.dueAt() <= harness.now + 5 * S);
         harness.now = Math.max(harness.now, timer.dueAt());
         harness.loadBalancer.onEvent(harness.now, new TimerFired(timer.token()));
--- a/node/src/test/java/fawnlb/policy/StateRetentionTest.java
+++ b/node/src/test/java/fawnlb/policy/StateRetentionTest.java
@@ -3,12 +3,12 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
-import fawnlb.decision.LoadBalancer.Endpoint;
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancer.StartAttempt;
-import fawnlb.decision.LoadBalancer.TimerFired;
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.Endpoint;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.decision.LoadBalancerAction.StartAttempt;
+import fawnlb.decision.LoadBalancerEvent.TimerFired;
 import java.lang.reflect.Array;
 import java.lang.reflect.Field;
 import java.util.Collection;
--- a/node/src/test/java/fawnlb/proxy/RequestProxyTest.java
+++ b/node/src/test/java/fawnlb/proxy/RequestProxyTest.java
@@ -7,10 +7,13 @@
 import static org.junit.Assert.assertTrue;
 
 import fawnlb.config.SettingsParser;
+import fawnlb.decision.AttemptOutcome;
+import fawnlb.decision.EndpointUpdateKind;
 import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancer.AttemptEnded;
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
-import fawnlb.decision.LoadBalancer.StartAttempt;
+import fawnlb.decision.LoadBalancerAction;
+import fawnlb.decision.LoadBalancerAction.StartAttempt;
+import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.decision.LoadBalancerEvent.AttemptEnded;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
 import fawnlb.metrics.Metrics;
@@ -26,7 +29,7 @@
 public class RequestProxyTest {
     private static final long MS = 1_000_000;
     private final List<String> observed = new ArrayList<>();
-    private final List<LoadBalancer.LoadBalancerEvent> events = new ArrayList<>();
+    private final List<LoadBalancerEvent> events = new ArrayList<>();
     private final List<Backends.AttemptListener> attemptListeners = new ArrayList<>();
     private final List<Long> sendDeadlines = new ArrayList<>();
     private final List<Long> responseDeadlines = new ArrayList<>();
@@ -180,7 +183,7 @@
         submit();
         timers.advance(116 * MS);
         assertEquals(List.of("refused null 1000"), observed);
-        assertTrue(events.get(1) instanceof LoadBalancer.ClientDisconnected);
+        assertTrue(events.get(1) instanceof LoadBalancerEvent.ClientDisconnected);
         assertEquals(0, proxy.openRequests());
     }
 
@@ -191,8 +194,8 @@
         actions.perform(new StartAttempt(1, 7, 0));
         timers.advance(90 * MS);
         assertEquals(AttemptOutcome.TIMEOUT, lastReportedOutcome());
-        actions.perform(new LoadBalancer.RejectRequest(1, 5 * MS));
-        actions.perform(new LoadBalancer.FailRequest(1));
+        actions.perform(new LoadBalancerAction.RejectRequest(1, 5 * MS));
+        actions.perform(new LoadBalancerAction.FailRequest(1));
         timers.advance(50 * MS);
         assertEquals(List.of("forward 7", "stop 1 out-of-time", "refused out-of-time 5"), observed);
         assertEquals(0, proxy.openRequests());
@@ -209,7 +212,7 @@
         attemptListeners.get(1).onAttemptEnded(AttemptEnd.of(EndReason.BACKEND_ERROR), 0, List.of());
         actions.perform(new StartAttempt(1, 9, 0));
         assertEquals(AttemptOutcome.NEVER_SENT, lastReportedOutcome());
-        actions.perform(new LoadBalancer.FailRequest(1));
+        actions.perform(new LoadBalancerAction.FailRequest(1));
         actions.perform(new StartAttempt(1, 9, 0));
         assertTrue(((AttemptEnded) events.get(events.size() - 1)).requestFinished());
         assertEquals(List.of("forward 7", "forward 8", "failed failed"), observed);
@@ -230,7 +233,7 @@
         actions.perform(new StartAttempt(1, 7, 0));
         attemptListeners.get(0).onResponseStarted(new SingleChunkSource());
         timers.advance(1000 * MS);
-        actions.perform(new LoadBalancer.RejectRequest(1, 0));
+        actions.perform(new LoadBalancerAction.RejectRequest(1, 0));
         attemptListeners.get(0).onAttemptEnded(AttemptEnd.of(EndReason.COMPLETED), 0, List.of());
         attemptListeners.get(0).onAttemptEnded(AttemptEnd.of(EndReason.CONNECTION_LOST), 0, List.of());
         assertEquals(List.of("forward 7", "streaming"), observed);
@@ -244,10 +247,10 @@
         submit();
         actions.perform(new StartAttempt(1, 7, 0));
         attemptListeners.get(0).onClientErrorResponse(new SingleChunkSource());
-        actions.perform(new LoadBalancer.CancelAttempt(1, 0));
+        actions.perform(new LoadBalancerAction.CancelAttempt(1, 0));
         attemptListeners.get(0).onAttemptEnded(AttemptEnd.of(EndReason.COMPLETED), 0, List.of());
         assertEquals(List.of("forward 7", "streaming"), observed);
-        assertTrue(events.get(1) instanceof LoadBalancer.ClientDisconnected);
+        assertTrue(events.get(1) instanceof LoadBalancerEvent.ClientDisconnected);
         assertEquals(AttemptOutcome.CANCELLED, lastReportedOutcome());
         assertEquals(0, proxy.openRequests());
     }
@@ -265,7 +268,7 @@
         client.connected = false;
         assertFalse(attemptListeners.get(0).isStillWanted());
         client.connected = true;
-        actions.perform(new LoadBalancer.RejectRequest(1, 0));
+        actions.perform(new LoadBalancerAction.RejectRequest(1, 0));
         assertFalse(attemptListeners.get(0).isStillWanted());
     }
 
@@ -296,19 +299,19 @@
         assertNotNull(submit());
         assertNotNull(submit());
         assertNull(submit());
-        actions.perform(new LoadBalancer.RejectRequest(1, 0));
+        actions.perform(new LoadBalancerAction.RejectRequest(1, 0));
         assertNotNull(submit());
     }
 
     @Test
     public void healthChecksAndTimersAreReportedToLoadBalancer() {
-        actions.perform(new LoadBalancer.CheckHealth(4));
-        assertEquals(List.of(2.0), ((LoadBalancer.HealthChecked) events.get(0)).loadReport());
-        actions.perform(new LoadBalancer.SetTimer(timers.now() + 5 * MS, 9));
+        actions.perform(new LoadBalancerAction.CheckHealth(4));
+        assertEquals(List.of(2.0), ((LoadBalancerEvent.HealthChecked) events.get(0)).loadReport());
+        actions.perform(new LoadBalancerAction.SetTimer(timers.now() + 5 * MS, 9));
         timers.advance(4 * MS);
         assertEquals(1, events.size());
         timers.advance(MS);
-        assertEquals(new LoadBalancer.TimerFired(9), events.get(1));
+        assertEquals(new LoadBalancerEvent.TimerFired(9), events.get(1));
     }
 
     /** A stream whose reader has stopped is no work for its backend: the module counts it no more, and hears no end. */
@@ -334,17 +337,17 @@
     @Test
     public void uncaughtErrorFailsOnlyTheAffectedRequest() {
         Object[][] cases = {
-            {LoadBalancer.RequestArrived.class, List.of("failed null")},
+            {LoadBalancerEvent.RequestArrived.class, List.of("failed null")},
             {AttemptEnded.class, List.of("forward 7", "failed failed")},
-            {LoadBalancer.ResponseStarted.class, List.of("forward 7", "streaming")}
+            {LoadBalancerEvent.ResponseStarted.class, List.of("forward 7", "streaming")}
         };
         for (Object[] row : cases) {
             observed.clear();
             failingEventType = (Class<?>) row[0];
             submit();
-            if (failingEventType != LoadBalancer.RequestArrived.class) {
+            if (failingEventType != LoadBalancerEvent.RequestArrived.class) {
                 actions.perform(new StartAttempt(
-                        ((LoadBalancer.RequestArrived) events.get(events.size() - 1)).requestId(), 7, 0));
+                        ((LoadBalancerEvent.RequestArrived) events.get(events.size() - 1)).requestId(), 7, 0));
                 Backends.AttemptListener listener = attemptListeners.get(attemptListeners.size() - 1);
                 if (failingEventType == AttemptEnded.class) {
                     listener.onAttemptEnded(AttemptEnd.of(EndReason.BACKEND_ERROR), 0, List.of());
@@ -424,7 +427,7 @@
         submit();
         actions.perform(new StartAttempt(1, 7, 0));
         attemptListeners.get(0).onAttemptEnded(AttemptEnd.of(EndReason.CONNECTION_LOST), 0, List.of());
-        actions.perform(new LoadBalancer.RejectRequest(1, 5));
+        actions.perform(new LoadBalancerAction.RejectRequest(1, 5));
         assertTrue(observed.toString(), observed.get(observed.size() - 1).startsWith("failed"));
         assertEquals(violations + 1, Metrics.value(Metrics.Metric.INVARIANT_VIOLATIONS, "repeated_as_effect_allows"));
     }
@@ -472,12 +475,11 @@
                 timers,
                 new RecordingBackends(),
                 new IdleEndpointWatch());
-        actions.perform(new LoadBalancer.SetTimer(timers.now(), 3));
+        actions.perform(new LoadBalancerAction.SetTimer(timers.now(), 3));
         RequestProxy.RequestHandle handle = submit();
         mailbox.tell(() -> {});
         assertNotNull(handle);
-        proxy.onEndpointsUpdated(
-                new LoadBalancer.EndpointsUpdated(LoadBalancer.EndpointUpdateKind.DELTA, 1, List.of()));
+        proxy.onEndpointsUpdated(new LoadBalancerEvent.EndpointsUpdated(EndpointUpdateKind.DELTA, 1, List.of()));
         handle.onClientDisconnected();
         timers.advance(1);
         while (!executor.isEmpty()) {
@@ -487,10 +489,10 @@
         events.forEach(event -> kinds.add(event.getClass()));
         assertEquals(
                 List.of(
-                        LoadBalancer.RequestArrived.class,
-                        LoadBalancer.EndpointsUpdated.class,
-                        LoadBalancer.ClientDisconnected.class,
-                        LoadBalancer.TimerFired.class),
+                        LoadBalancerEvent.RequestArrived.class,
+                        LoadBalancerEvent.EndpointsUpdated.class,
+                        LoadBalancerEvent.ClientDisconnected.class,
+                        LoadBalancerEvent.TimerFired.class),
                 kinds);
     }
 }
--- a/node/src/test/java/fawnlb/snapshot/SnapshotCompatibilityTest.java
+++ b/node/src/test/java/fawnlb/snapshot/SnapshotCompatibilityTest.java
@@ -4,7 +4,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.snapshot.Snapshot.Entry;
 import java.io.IOException;
--- a/node/src/test/java/fawnlb/snapshot/SnapshotRecorderTest.java
+++ b/node/src/test/java/fawnlb/snapshot/SnapshotRecorderTest.java
@@ -4,9 +4,9 @@
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
-import fawnlb.decision.LoadBalancer.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancer.ResponseStarted;
+import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.decision.LoadBalancerEvent.ResponseStarted;
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.discovery.EndpointList;
 import fawnlb.eventloop.Mailbox;
--- a/node/src/test/java/fawnlb/snapshot/SnapshotStoreTest.java
+++ b/node/src/test/java/fawnlb/snapshot/SnapshotStoreTest.java
@@ -6,7 +6,7 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.EndpointPhase;
+import fawnlb.decision.EndpointPhase;
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.snapshot.Snapshot.Entry;
 import java.io.IOException;
--- a/node/src/test/java/fawnlb/stream/StreamRegistryTest.java
+++ b/node/src/test/java/fawnlb/stream/StreamRegistryTest.java
@@ -4,7 +4,7 @@
 import static org.junit.Assert.assertNull;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.LoadBalancer.AttemptOutcome;
+import fawnlb.decision.AttemptOutcome;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
