--- a/lab/src/main/java/fawnlb/lab/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/fawnlb/lab/discovery/DiscoveryServer.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import fawnlb.decision.EndpointPhase;
 import fawnlb.discovery.DiscoveredEndpoint;
-import fawnlb.discovery.EndpointList;
+import fawnlb.discovery.EndpointListCodec;
 import fawnlb.eventloop.Timers;
 import fawnlb.lab.net.HttpServer;
 import fawnlb.lab.net.HttpServer.Exchange;
@@ -201,7 +201,7 @@
             out.writeBooleanField("complete", complete);
             out.writeArrayFieldStart("members");
             for (DiscoveredEndpoint member : members) {
-                EndpointList.writeEndpoint(member, out);
+                EndpointListCodec.writeEndpoint(member, out);
             }
             out.writeEndArray();
             out.writeEndObject();
--- a/node/src/main/java/fawnlb/config/ServerConfiguration.java
+++ b/node/src/main/java/fawnlb/config/ServerConfiguration.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.discovery.EndpointList;
+import fawnlb.discovery.EndpointListCodec;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -59,7 +60,7 @@
                 String name = json.currentName();
                 json.nextToken();
                 if (name.equals("known") && json.currentToken() == JsonToken.START_OBJECT) {
-                    initialEndpoints = EndpointList.read(json);
+                    initialEndpoints = EndpointListCodec.read(json);
                 } else if (name.equals("known")) {
                     json.skipChildren();
                 } else {
--- a/node/src/main/java/fawnlb/discovery/DiscoveryClient.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryClient.java
@@ -125,7 +125,7 @@
     }
 
     private void applyList(String text, boolean isWatch) throws IOException {
-        EndpointList list = EndpointList.parse(text);
+        EndpointList list = EndpointListCodec.parse(text);
         if (isWatch && !list.complete() && list.revision() < revision) {
             // Changes older than what is held would undo newer ones. Whoever sends them counts anew: ask for the whole
             // list.
--- a/node/src/main/java/fawnlb/snapshot/SnapshotCodec.java
+++ b/node/src/main/java/fawnlb/snapshot/SnapshotCodec.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import fawnlb.discovery.DiscoveredEndpoint;
-import fawnlb.discovery.EndpointList;
+import fawnlb.discovery.EndpointListCodec;
 import fawnlb.snapshot.Snapshot.Entry;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -53,7 +53,7 @@
                 generator.writeNumberField("listed_ms", entry.lastListedAtMillis());
                 generator.writeNumberField("answered_ms", entry.lastResponseAtMillis());
                 generator.writeFieldName("member");
-                EndpointList.writeEndpoint(entry.endpoint(), generator);
+                EndpointListCodec.writeEndpoint(entry.endpoint(), generator);
                 generator.writeEndObject();
             }
             generator.writeEndArray();
@@ -133,7 +133,7 @@
             switch (fieldName) {
                 case "listed_ms" -> lastListedAtMillis = parser.getLongValue();
                 case "answered_ms" -> lastResponseAtMillis = parser.getLongValue();
-                case "member" -> endpoint = EndpointList.readEndpoint(parser);
+                case "member" -> endpoint = EndpointListCodec.readEndpoint(parser);
                 default -> parser.skipChildren();
             }
         }
--- a/node/src/test/java/fawnlb/discovery/EndpointListCodecTest.java
+++ b/node/src/test/java/fawnlb/discovery/EndpointListCodecTest.java
@@ -5,62 +5,75 @@
 import static org.junit.Assert.assertTrue;
 
 import fawnlb.decision.EndpointPhase;
+import fawnlb.discovery.EndpointListFormatException.Reason;
 import java.io.IOException;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
 import org.junit.Test;
 
 public class EndpointListCodecTest {
+    private static final int MAX_MESSAGE_CHARS = 200;
+
+    /** An endpoint with a field that the reader does not know; the phase is to be filled in. */
     private static final String ENDPOINT_JSON =
             "{\"id\":\"s-5be2a07c\",\"host_port\":\"127.0.0.1:9\",\"locality\":\"a\",\"flavor\":\"m2\","
                     + "\"cell\":3,\"phase\":\"%s\",\"size\":1.5,\"up_since_ms\":7,\"new\":{\"x\":[1]}}";
 
+    private static String endpointJson(String phase) {
+        return ENDPOINT_JSON.formatted(phase);
+    }
+
+    private static String endpointJsonWithAddress(String address) {
+        return endpointJson("ready").replace("127.0.0.1:9", address);
+    }
+
     private static String listJson(String... endpoints) {
         return "{\"revision\":4,\"later\":[{}],\"complete\":true,\"members\":[" + String.join(",", endpoints) + "]}";
     }
 
+    private static EndpointListFormatException assertRejected(String text) {
+        return assertThrows(text, EndpointListFormatException.class, () -> EndpointListCodec.parse(text));
+    }
+
     @Test
     public void parsesListsAndSkipsUnknownFields() throws IOException {
-        Object[][] cases = {
-            {"ready", EndpointPhase.READY},
-            {"draining", EndpointPhase.DRAINING},
-            {"gone", EndpointPhase.GONE},
-            {"odd", EndpointPhase.DRAINING}
-        };
-        for (Object[] row : cases) {
-            EndpointList read = EndpointList.parse(listJson(ENDPOINT_JSON.formatted(row[0])));
-            assertEquals(
-                    new EndpointList(
-                            4,
-                            true,
-                            List.of(new DiscoveredEndpoint(
-                                    "s-5be2a07c", "127.0.0.1", 9, "a", "m2", 3, (EndpointPhase) row[1], 1.5, 7))),
-                    read);
-            assertEquals(0x5be2a07cL, read.endpoints().get(0).numericId());
+        Map<String, EndpointPhase> phases = Map.of(
+                "ready", EndpointPhase.READY,
+                "draining", EndpointPhase.DRAINING,
+                "gone", EndpointPhase.GONE,
+                "odd", EndpointPhase.DRAINING);
+        for (Map.Entry<String, EndpointPhase> row : phases.entrySet()) {
+            EndpointList list = EndpointListCodec.parse(listJson(endpointJson(row.getKey())));
+
+            DiscoveredEndpoint endpoint =
+                    new DiscoveredEndpoint("s-5be2a07c", "127.0.0.1", 9, "a", "m2", 3, row.getValue(), 1.5, 7);
+            assertEquals(new EndpointList(4, true, List.of(endpoint)), list);
+            assertEquals(0x5be2a07cL, list.endpoints().get(0).numericId());
         }
     }
 
     @Test
     public void rejectsMalformedLists() {
-        for (String bad : new String[] {
-            "",
-            "[]",
-            "{}",
-            listJson("{}"),
-            listJson("{\"id\":\"x\",\"host_port\":\"h\"}"),
-            listJson("{\"id\":\"x\",\"host_port\":\"h:x\"}"),
-            listJson(ENDPOINT_JSON.formatted("ready")) + " {}",
-            "{\"revision\":1",
-            "{\"revision\":\"x\"}",
-            "{\"revision\":1,\"members\":3}"
-        }) {
-            assertThrows(bad, IOException.class, () -> EndpointList.parse(bad));
-        }
+        Map<String, Reason> reasons = new LinkedHashMap<>();
+        reasons.put("", Reason.MALFORMED);
+        reasons.put("[]", Reason.MALFORMED);
+        reasons.put("{}", Reason.INCOMPLETE);
+        reasons.put(listJson("{}"), Reason.INVALID_ENDPOINT);
+        reasons.put(listJson("{\"id\":\"x\",\"host_port\":\"h\"}"), Reason.INVALID_ENDPOINT);
+        reasons.put(listJson("{\"id\":\"x\",\"host_port\":\"h:x\"}"), Reason.INVALID_ENDPOINT);
+        reasons.put(listJson(endpointJson("ready")) + " {}", Reason.INCOMPLETE);
+        reasons.put("{\"revision\":1", Reason.MALFORMED);
+        reasons.put("{\"revision\":\"x\"}", Reason.MALFORMED);
+        reasons.put("{\"revision\":1,\"members\":3}", Reason.MALFORMED);
+        reasons.forEach((text, reason) ->
+                assertEquals(text, reason, assertRejected(text).reason()));
     }
 
-    /** A name was looked up on the I/O thread, and each attempt to an address that is none was never heard of again. */
+    /** A name would be looked up on the I/O thread, and a connect to what is no address would never end. */
     @Test
-    public void rejectsAddressesThatAreNotNumeric() throws IOException {
-        for (String bad : new String[] {
+    public void rejectsAddressesThatAreNotNumeric() {
+        for (String address : new String[] {
             "engine.local:9",
             "999.1.1.1:9",
             "127.0.0.1:70000",
@@ -69,15 +82,18 @@
             "1.2.3:9",
             "x".repeat(100_000)
         }) {
-            String text = listJson(ENDPOINT_JSON.formatted("ready").replace("127.0.0.1:9", bad));
-            IOException exception = assertThrows(bad, IOException.class, () -> EndpointList.parse(text));
-            assertTrue(exception.getMessage(), exception.getMessage().length() < 200);
+            EndpointListFormatException rejection = assertRejected(listJson(endpointJsonWithAddress(address)));
+
+            assertEquals(Reason.INVALID_ENDPOINT, rejection.reason());
+            assertTrue(rejection.getMessage(), rejection.getMessage().length() < MAX_MESSAGE_CHARS);
         }
-        assertEquals(
-                9,
-                EndpointList.parse(listJson(ENDPOINT_JSON.formatted("ready").replace("127.0.0.1", "[::1]")))
-                        .endpoints()
-                        .get(0)
-                        .port());
+    }
+
+    @Test
+    public void acceptsNumericIpv6Addresses() throws IOException {
+        EndpointList list = EndpointListCodec.parse(listJson(endpointJsonWithAddress("[::1]:9")));
+
+        assertEquals("[::1]", list.endpoints().get(0).host());
+        assertEquals(9, list.endpoints().get(0).port());
     }
 }
