--- a/node/src/main/java/fawnlb/backend/Backend.java
+++ b/node/src/main/java/fawnlb/backend/Backend.java
@@ -442,12 +442,12 @@
                         ? null
                         : requestRejected
                                 ? ResponseTranslator.forError(request.dialect(), response.status())
-                                : new ResponseTranslator(dialect, request.dialect(), request.isStreamed());
+                                : ResponseTranslator.create(dialect, request.dialect(), request.isStreamed());
                 passThroughParser = translation != null
                                 || requestRejected
                                 || !request.responseSummary().collectsUsage()
                         ? null
-                        : new ResponseTranslator(dialect, dialect, request.isStreamed());
+                        : ResponseTranslator.create(dialect, dialect, request.isStreamed());
                 scheduleWake();
             } else {
                 cancelWake();
--- a/node/src/main/java/fawnlb/messages/BrokerHandler.java
+++ b/node/src/main/java/fawnlb/messages/BrokerHandler.java
@@ -128,7 +128,7 @@
             rejection.reject(StatusCodes.BAD_REQUEST, e.getMessage(), 0);
             return;
         }
-        long estimatedTokens = completion.promptTokens() + completion.maxTokens();
+        long estimatedTokens = completion.promptTokens() + completion.sampling().maxTokens();
         if (!checkContract(contract, record, completion, estimatedTokens, rejection)) {
             return;
         }
@@ -214,7 +214,6 @@
         if (classIndex < 0 && contract.classes().contains(requestClass)) {
             throw new IllegalArgumentException("class '" + requestClass + "' is not served here");
         }
-        Dialect other = record.dialect() == Dialect.CHAT ? Dialect.MESSAGES : Dialect.CHAT;
         String query = exchange.getQueryString();
         OutboundRequest outbound = new OutboundRequest(
                 record.dialect(),
@@ -223,7 +222,7 @@
                 RequestHeadValidator.singleHeader(exchange, OutboundRequest.IDEMPOTENCY_KEY),
                 completion.stream(),
                 body,
-                completion.encode(other),
+                completion.encode(record.dialect().other()),
                 responseSummary);
         String session = exchange.getRequestHeaders().getFirst("X-Key");
         return new IncomingRequest(
@@ -233,8 +232,8 @@
                 AffinityKeys.parse(completion.system()),
                 clientDeadlineNanos(exchange, contract),
                 completion.promptTokens(),
-                (completion.system().length() + 3) / 4,
-                completion.maxTokens(),
+                completion.systemTokens(),
+                completion.sampling().maxTokens(),
                 false,
                 outbound);
     }
--- a/node/src/main/java/fawnlb/translation/ErrorBody.java
+++ b/node/src/main/java/fawnlb/translation/ErrorBody.java
@@ -1,15 +1,13 @@
 package fawnlb.translation;
 
-import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.IOException;
-import java.io.StringWriter;
-
-/** The body of an answer that is an error, in either dialect. */
+/** Error responses of both dialects. */
 public final class ErrorBody {
     private ErrorBody() {}
 
-    /** The error's type by HTTP status, in the messages dialect's words. */
-    public static String errorType(int status) {
+    /**
+     * Returns the type that the messages dialect gives to errors of an HTTP status; the chat dialect gets the same one.
+     */
+    private static String errorType(int status) {
         return switch (status) {
             case 400, 405 -> "invalid_request_error";
             case 401 -> "authentication_error";
@@ -23,16 +21,15 @@
         };
     }
 
-    /** The event that ends a stream with an error, as each dialect's clients know it. */
+    /** Returns the server-sent event that ends a stream with an error. */
     public static String streamEvent(Dialect dialect, int status, String message) {
-        return (dialect == Dialect.MESSAGES ? "event: error\n" : "") + "data: " + json(dialect, status, message)
-                + "\n\n";
+        String eventName = dialect == Dialect.MESSAGES ? "event: error\n" : "";
+        return eventName + "data: " + json(dialect, status, message) + "\n\n";
     }
 
+    /** Returns the body of an error response. */
     public static String json(Dialect dialect, int status, String message) {
-        StringWriter text = new StringWriter();
-        try (JsonGenerator generator = FlatJson.JSON_FACTORY.createGenerator(text)) {
-            generator.writeStartObject();
+        return JsonText.object(generator -> {
             if (dialect == Dialect.MESSAGES) {
                 generator.writeStringField("type", "error");
             }
@@ -43,10 +40,6 @@
                 generator.writeNumberField("code", status);
             }
             generator.writeEndObject();
-            generator.writeEndObject();
-        } catch (IOException e) {
-            throw new IllegalStateException("writing to memory failed", e);
-        }
-        return text.toString();
+        });
     }
 }
--- a/node/src/main/java/fawnlb/translation/FirstEventBuffer.java
+++ b/node/src/main/java/fawnlb/translation/FirstEventBuffer.java
@@ -1,27 +1,30 @@
 package fawnlb.translation;
 
 import java.io.ByteArrayOutputStream;
-import java.io.IOException;
 import java.nio.ByteBuffer;
 
 /**
- * Keeps the beginning of a stream until its first event is whole. A backend that breaks off within it has answered
- * nothing, and another may be asked; a client that was shown a part of it would be left with no answer.
+ * Withholds the beginning of a stream until its first event is complete. A backend that fails before that has sent the
+ * client nothing, so that the request can be retried on another backend.
  */
 public final class FirstEventBuffer {
     private final SseParser parser = new SseParser();
+    /** The bytes that are withheld; null after their release. */
     private ByteArrayOutputStream pending = new ByteArrayOutputStream(0);
 
     /**
-     * What of these bytes, and of those before, the client may be shown: nothing before the first event is whole, all
-     * of it then, and each piece as it comes from there on. Fails where 256 KiB came without an event.
+     * Takes the next bytes of the stream.
+     *
+     * @return what may be forwarded: nothing before the first event is complete, then all bytes so far, then the bytes
+     *     as given
+     * @throws MalformedResponseException if the first event exceeds the size limit for events
      */
-    public ByteBuffer feed(ByteBuffer bytes) throws IOException {
+    public ByteBuffer feed(ByteBuffer bytes) throws MalformedResponseException {
         if (pending == null) {
             return bytes;
         }
         if (pending.size() + bytes.remaining() > SseParser.MAX_EVENT_BYTES) {
-            throw new IOException("no event in " + SseParser.MAX_EVENT_BYTES + " bytes");
+            throw new MalformedResponseException("no event in " + SseParser.MAX_EVENT_BYTES + " bytes");
         }
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
@@ -32,17 +35,14 @@
         return release();
     }
 
-    /**
-     * What is kept, after which each piece may be shown as it comes: whoever can wait no longer takes the stream as it
-     * is.
-     */
+    /** Returns the withheld bytes and withholds no more, for a caller that can't wait for the event's end. */
     public ByteBuffer release() {
         ByteBuffer released = ByteBuffer.wrap(pending == null ? new byte[0] : pending.toByteArray());
         pending = null;
         return released;
     }
 
-    /** Bytes that are kept until the first event is whole. */
+    /** Returns the number of bytes that are withheld. */
     public int bufferedBytes() {
         return pending == null ? 0 : pending.size();
     }
--- /dev/null
+++ b/node/src/main/java/fawnlb/translation/MalformedResponseException.java
@@ -0,0 +1,12 @@
+package fawnlb.translation;
+
+import java.io.IOException;
+
+/** A backend's response violates its dialect, ends before its final event or exceeds a size limit. */
+public final class MalformedResponseException extends IOException {
+    private static final long serialVersionUID = 1;
+
+    MalformedResponseException(String message) {
+        super(message);
+    }
+}
--- /dev/null
+++ b/node/src/main/java/fawnlb/translation/ResponseBody.java
@@ -0,0 +1,28 @@
+package fawnlb.translation;
+
+import java.io.ByteArrayOutputStream;
+import java.nio.ByteBuffer;
+
+/** Collects a response that can be translated only as a whole. */
+final class ResponseBody {
+    private static final int MAX_BYTES = 1 << 20;
+
+    private final ByteArrayOutputStream collected = new ByteArrayOutputStream();
+
+    void add(ByteBuffer bytes) throws MalformedResponseException {
+        if (collected.size() + bytes.remaining() > MAX_BYTES) {
+            throw new MalformedResponseException("answer longer than " + MAX_BYTES + " bytes");
+        }
+        byte[] copy = new byte[bytes.remaining()];
+        bytes.get(copy);
+        collected.writeBytes(copy);
+    }
+
+    byte[] toByteArray() {
+        return collected.toByteArray();
+    }
+
+    int size() {
+        return collected.size();
+    }
+}
--- a/node/src/main/java/fawnlb/translation/ResponseDelta.java
+++ b/node/src/main/java/fawnlb/translation/ResponseDelta.java
@@ -1,21 +1,25 @@
 package fawnlb.translation;
 
-/** What an answer is made of, in neither dialect's words. Stop reasons are those of the messages dialect. */
+/** A part of a response, independent of the dialect that it was decoded from. */
 sealed interface ResponseDelta {
+    /** The response begins. */
     record Start(String id, String model, long inputTokens) implements ResponseDelta {}
 
+    /** More text of the response. */
     record Text(String text) implements ResponseDelta {}
 
-    record Finish(String reason, long inputTokens, long outputTokens, long cachedTokens) implements ResponseDelta {}
+    /** The model stopped. The reason is one of the messages dialect, see {@link FinishReason}. */
+    record Finish(String reason, Usage usage) implements ResponseDelta {}
 
-    /** The last event: only with it is the answer whole. */
+    /** The final event: only a response with it is complete. */
     record End() implements ResponseDelta {}
 
+    /** The backend reports an error within its response. */
     record Failure(String type, String message) implements ResponseDelta {}
 
-    /** Known, with no counterpart to write. */
+    /** A known event that has no counterpart in the other dialect. */
     record Ignored() implements ResponseDelta {}
 
-    /** Not known: skipped and counted. */
+    /** An unknown event; it is skipped and counted. */
     record Unrecognized() implements ResponseDelta {}
 }
--- a/node/src/main/java/fawnlb/translation/ResponseTranslator.java
+++ b/node/src/main/java/fawnlb/translation/ResponseTranslator.java
@@ -1,117 +1,78 @@
 package fawnlb.translation;
 
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.List;
 
-/** Turns one answer of a backend into the client's dialect as it comes; or only reads along, for its usage. */
-public final class ResponseTranslator {
-    private static final int MAX_RESPONSE_BYTES = 1 << 20;
-
-    private final boolean streaming;
-    private final Dialect clientDialect;
-    private final int errorStatus;
-    private final SseParser parser = new SseParser();
-    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private final ResponseDecoder decoder;
-    private final ResponseEncoder encoder;
-    private boolean ended;
+/**
+ * Translates one response of a backend to the client's dialect while it arrives. Between a client and a backend of the
+ * same dialect a translator only counts tokens and events, and its output is not used. It is called on one I/O thread.
+ */
+public abstract class ResponseTranslator {
     private int unrecognizedEvents;
-    private long inputTokens;
-    private long outputTokens;
+    private long totalTokens;
 
-    public ResponseTranslator(Dialect from, Dialect to, boolean stream) {
-        this(from, to, stream, 0);
-    }
+    ResponseTranslator() {}
 
-    private ResponseTranslator(Dialect from, Dialect to, boolean stream, int errorStatus) {
-        this.decoder = new ResponseDecoder(from);
-        this.encoder = new ResponseEncoder(to);
-        this.streaming = stream;
-        this.clientDialect = to;
-        this.errorStatus = errorStatus;
+    /** Returns a translator for a response to a request that asked for a stream, or that did not. */
+    public static ResponseTranslator create(Dialect from, Dialect to, boolean streamed) {
+        return streamed ? forStream(from, to) : forBody(from, to);
     }
 
-    /** For a body that is an error; both dialects keep its message in the same place. */
-    public static ResponseTranslator forError(Dialect to, int status) {
-        return new ResponseTranslator(to, to, false, status);
+    /** Returns a translator for a response that is streamed as server-sent events. */
+    public static ResponseTranslator forStream(Dialect from, Dialect to) {
+        return new StreamTranslator(ResponseDecoder.forDialect(from), ResponseEncoder.forDialect(to));
     }
 
-    /** What the client gets for these bytes, perhaps nothing yet. */
-    public ByteBuffer feed(ByteBuffer bytes) throws IOException {
-        if (!streaming) {
-            if (body.size() + bytes.remaining() > MAX_RESPONSE_BYTES) {
-                throw new IOException("answer longer than " + MAX_RESPONSE_BYTES + " bytes");
-            }
-            byte[] copy = new byte[bytes.remaining()];
-            bytes.get(copy);
-            body.writeBytes(copy);
-            return ByteBuffer.allocate(0);
-        }
-        StringBuilder encoded = new StringBuilder();
-        for (SseParser.Event event : parser.feed(bytes)) {
-            for (ResponseDelta delta : decoder.decodeEvent(event)) {
-                // What follows the last event is no part of the answer.
-                if (!ended) {
-                    recordDelta(delta);
-                    encoded.append(encoder.encodeEvent(delta));
-                }
-            }
-        }
-        return utf8(encoded.toString());
+    /** Returns a translator for a response that is one JSON object. */
+    public static ResponseTranslator forBody(Dialect from, Dialect to) {
+        return new BodyTranslator(ResponseDecoder.forDialect(from), ResponseEncoder.forDialect(to));
     }
 
-    /** The rest at the answer's end; an answer without its last event is an error, however its framing ended. */
-    public ByteBuffer finish() throws IOException {
-        if (streaming) {
-            if (!ended) {
-                throw new IOException("the answer has no last event");
-            }
-            return ByteBuffer.allocate(0);
-        }
-        if (errorStatus != 0) {
-            return utf8(ErrorBody.json(clientDialect, errorStatus, errorMessage()));
-        }
-        List<ResponseDelta> deltas = decoder.decodeBody(body.toByteArray());
-        deltas.forEach(this::recordDelta);
-        return utf8(encoder.encodeBody(deltas));
+    /** Returns a translator for an error response; both dialects hold its message at the same place. */
+    public static ResponseTranslator forError(Dialect to, int status) {
+        return new ErrorTranslator(to, status);
     }
 
-    private String errorMessage() {
-        try {
-            return FlatJson.parse(body.toByteArray()).text("error.message", "the target refused the request");
-        } catch (IOException e) {
-            return "the target refused the request";
-        }
-    }
+    /**
+     * Takes the next bytes of the response.
+     *
+     * @return what the client gets for them, possibly nothing yet
+     * @throws IOException if the response is malformed or too large
+     */
+    public abstract ByteBuffer feed(ByteBuffer bytes) throws IOException;
 
-    private void recordDelta(ResponseDelta delta) {
-        ended |= delta instanceof ResponseDelta.End;
-        unrecognizedEvents += delta instanceof ResponseDelta.Unrecognized ? 1 : 0;
-        if (delta instanceof ResponseDelta.Finish stop) {
-            inputTokens = stop.inputTokens();
-            outputTokens = stop.outputTokens();
-        }
-    }
+    /**
+     * Takes the end of the response's framing.
+     *
+     * @return what the client still gets
+     * @throws IOException if the response is malformed or has no final event
+     */
+    public abstract ByteBuffer finish() throws IOException;
 
-    private static ByteBuffer utf8(String text) {
-        return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
-    }
+    /** Returns the number of bytes that were taken and wait for the rest of their event or body. */
+    public abstract int bufferedBytes();
 
-    /** Bytes that were read and are kept until more of them can be told. */
-    public int bufferedBytes() {
-        return body.size() + parser.bufferedBytes();
+    /** Counts what a delta reports. */
+    final void recordDelta(ResponseDelta delta) {
+        if (delta instanceof ResponseDelta.Unrecognized) {
+            unrecognizedEvents++;
+        } else if (delta instanceof ResponseDelta.Finish finish) {
+            totalTokens = finish.usage().inputTokens() + finish.usage().outputTokens();
+        }
     }
 
-    /** Unknown events met so far. */
-    public int unrecognizedEvents() {
+    /** Returns the number of events of unknown names or types so far; they are not translated. */
+    public final int unrecognizedEvents() {
         return unrecognizedEvents;
     }
 
-    /** Tokens of prompt and answer, once the backend has told them. */
-    public long totalTokens() {
-        return inputTokens + outputTokens;
+    /** Returns the tokens of prompt and response, 0 until the backend has reported them. */
+    public final long totalTokens() {
+        return totalTokens;
+    }
+
+    static ByteBuffer utf8(String text) {
+        return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/node/src/main/java/fawnlb/translation/SseParser.java
+++ b/node/src/main/java/fawnlb/translation/SseParser.java
@@ -1,65 +1,74 @@
 package fawnlb.translation;
 
 import java.io.ByteArrayOutputStream;
-import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads server-sent events from pieces of any size: CR, LF or CRLF, comments, data over several lines. */
+/**
+ * Parses server-sent events from byte chunks of any size. Lines end with CR, LF or CRLF; comments and fields other than
+ * {@code event} and {@code data} are skipped.
+ */
 final class SseParser {
+    /** The largest size of one event; it limits what a backend can make this process buffer. */
     static final int MAX_EVENT_BYTES = 256 * 1024;
 
-    /** An event: its name, empty if it has none, and its data lines joined with line feeds. */
+    /**
+     * A complete event.
+     *
+     * @param name the event's name, empty if it has none
+     * @param data its data lines, joined with line feeds
+     */
     record Event(String name, String data) {}
 
     private final ByteArrayOutputStream currentLine = new ByteArrayOutputStream();
+    private final List<Event> completed = new ArrayList<>();
     private boolean skipLineFeed;
     private String eventName = "";
     private StringBuilder eventData;
     private int eventBytes;
 
-    List<Event> feed(ByteBuffer bytes) throws IOException {
-        List<Event> events = new ArrayList<>();
+    /**
+     * Takes the next bytes of a stream.
+     *
+     * @return the events that they complete
+     * @throws MalformedResponseException if an event exceeds {@link #MAX_EVENT_BYTES}
+     */
+    List<Event> feed(ByteBuffer bytes) throws MalformedResponseException {
+        completed.clear();
         while (bytes.hasRemaining()) {
-            byte b = bytes.get();
-            if (b == '\n' && skipLineFeed) {
-                skipLineFeed = false;
+            byte next = bytes.get();
+            boolean secondHalfOfCrLf = skipLineFeed && next == '\n';
+            skipLineFeed = next == '\r';
+            if (secondHalfOfCrLf) {
                 continue;
             }
-            skipLineFeed = b == '\r';
-            if (b == '\n' || b == '\r') {
-                processLine(currentLine.toString(StandardCharsets.UTF_8), events);
+            if (next == '\n' || next == '\r') {
+                processLine(currentLine.toString(StandardCharsets.UTF_8));
                 currentLine.reset();
             } else {
-                currentLine.write(b);
-                if (++eventBytes > MAX_EVENT_BYTES) {
-                    throw new IOException("event longer than " + MAX_EVENT_BYTES + " bytes");
-                }
+                addToLine(next);
             }
         }
-        return events;
+        return List.copyOf(completed);
     }
 
-    /** Bytes of the event that has begun. */
-    int bufferedBytes() {
-        return eventBytes;
+    private void addToLine(byte next) throws MalformedResponseException {
+        currentLine.write(next);
+        if (++eventBytes > MAX_EVENT_BYTES) {
+            throw new MalformedResponseException("event longer than " + MAX_EVENT_BYTES + " bytes");
+        }
     }
 
-    private void processLine(String text, List<Event> events) {
-        if (text.isEmpty()) {
-            if (eventData != null) {
-                events.add(new Event(eventName, eventData.toString()));
-            }
-            eventName = "";
-            eventData = null;
-            eventBytes = 0;
+    private void processLine(String line) {
+        if (line.isEmpty()) {
+            completeEvent();
             return;
         }
-        int colon = text.indexOf(':');
-        String field = colon < 0 ? text : text.substring(0, colon);
-        String value = colon < 0 ? "" : text.substring(colon + (text.startsWith(": ", colon) ? 2 : 1));
+        int colon = line.indexOf(':');
+        String field = colon < 0 ? line : line.substring(0, colon);
+        String value = colon < 0 ? "" : line.substring(colon + (line.startsWith(": ", colon) ? 2 : 1));
         if (field.equals("event")) {
             eventName = value;
         } else if (field.equals("data")) {
@@ -68,4 +77,19 @@
                     : eventData.append('\n').append(value);
         }
     }
+
+    /** An event without data is none. */
+    private void completeEvent() {
+        if (eventData != null) {
+            completed.add(new Event(eventName, eventData.toString()));
+        }
+        eventName = "";
+        eventData = null;
+        eventBytes = 0;
+    }
+
+    /** Returns the number of bytes of the event that has begun and is not complete. */
+    int bufferedBytes() {
+        return eventBytes;
+    }
 }
--- a/node/src/test/java/fawnlb/translation/CompletionRequestTest.java
+++ b/node/src/test/java/fawnlb/translation/CompletionRequestTest.java
@@ -2,8 +2,11 @@
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertThrows;
+import static org.junit.Assert.assertTrue;
 
+import fawnlb.translation.CompletionRequest.InvalidCompletionRequestException;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import org.junit.Test;
 
 public class CompletionRequestTest {
@@ -14,67 +17,91 @@
             "{\"model\":\"m\",\"max_tokens\":5,\"stream\":true,\"system\":\"S\",\"messages\":["
                     + "{\"role\":\"user\",\"content\":\"U\"}],\"temperature\":0.5,\"stop_sequences\":[\"x\"],"
                     + "\"metadata\":{\"user_id\":\"u1\"}}";
-    private static final String[][] INVALID_REQUESTS = {
-        {"CHAT", "", "JSON"},
-        {"CHAT", "[]", "JSON"},
-        {"CHAT", "{} {}", "JSON"},
-        {"CHAT", "{", "JSON"},
-        {"CHAT", "{\"" + "n".repeat(600) + "\":[1]}", "JSON"},
-        {"CHAT", "[".repeat(40), "JSON"},
-        {"CHAT", "{\"x\":[" + "1,".repeat(30_000) + "1]}", "JSON"},
-        {"CHAT", "{\"messages\":[]}", "model"},
-        {"CHAT", "{\"model\":\"m\"}", "messages"},
-        {"CHAT", "{\"model\":\"m\",\"messages\":[{\"role\":\"x\",\"content\":\"\"}]}", "role"},
-        {"CHAT", "{\"model\":\"m\",\"messages\":[{\"role\":\"user\"}]}", "content"},
-        {"CHAT", "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":[{\"type\":\"image\"}]}]}", "only text"
-        },
-        {"CHAT", "{\"model\":\"m\",\"max_tokens\":0,\"messages\":[{\"role\":\"user\",\"content\":\"\"}]}", "max_tokens"
-        },
-        {"MESSAGES", "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"\"}]}", "max_tokens"},
-        {"MESSAGES", "{\"model\":\"m\",\"max_tokens\":1,\"messages\":[{\"role\":\"system\",\"content\":\"\"}]}", "role"
-        },
-        {
-            "MESSAGES",
-            "{\"model\":\"m\",\"max_tokens\":1,\"stream\":7,\"messages\":[{\"role\":\"user\",\"content\":\"\"}]}",
-            "stream"
-        }
-    };
 
-    private static byte[] bytes(String text) {
-        return text.getBytes(StandardCharsets.UTF_8);
+    /** A request's body and a word of the message that rejects it. */
+    private record Invalid(Dialect dialect, String body, String expectedWord) {}
+
+    private static Invalid chat(String body, String expectedWord) {
+        return new Invalid(Dialect.CHAT, body, expectedWord);
+    }
+
+    private static Invalid messages(String body, String expectedWord) {
+        return new Invalid(Dialect.MESSAGES, body, expectedWord);
+    }
+
+    private static final List<Invalid> INVALID_REQUESTS = List.of(
+            chat("", "JSON"),
+            chat("[]", "JSON"),
+            chat("{} {}", "JSON"),
+            chat("{", "JSON"),
+            chat("{\"" + "n".repeat(600) + "\":[1]}", "JSON"),
+            chat("[".repeat(40), "JSON"),
+            chat("{\"x\":[" + "1,".repeat(30_000) + "1]}", "JSON"),
+            chat("{\"messages\":[]}", "model"),
+            chat("{\"model\":\"m\"}", "messages"),
+            chat("{\"model\":\"m\",\"messages\":[{\"role\":\"x\",\"content\":\"\"}]}", "role"),
+            chat("{\"model\":\"m\",\"messages\":[{\"role\":\"user\"}]}", "content"),
+            chat(
+                    "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":[{\"type\":\"image\"}]}]}",
+                    "only text"),
+            chat(
+                    "{\"model\":\"m\",\"max_tokens\":0,\"messages\":[{\"role\":\"user\",\"content\":\"\"}]}",
+                    "max_tokens"),
+            messages("{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"\"}]}", "max_tokens"),
+            messages(
+                    "{\"model\":\"m\",\"max_tokens\":1,\"messages\":[{\"role\":\"system\",\"content\":\"\"}]}", "role"),
+            messages(
+                    "{\"model\":\"m\",\"max_tokens\":1,\"stream\":7,\"messages\":[{\"role\":\"user\",\"content\":\"\"}]}",
+                    "stream"));
+
+    private static CompletionRequest decode(Dialect dialect, String body) throws InvalidCompletionRequestException {
+        return CompletionRequest.decode(dialect, body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    public void requestIsTranslatedBetweenDialects() throws CompletionRequest.InvalidCompletionRequestException {
+    public void requestIsTranslatedBetweenDialects() throws InvalidCompletionRequestException {
         for (Dialect from : Dialect.values()) {
-            CompletionRequest request = CompletionRequest.decode(from, bytes(from == Dialect.CHAT ? CHAT : MESSAGES));
-            assertEquals(MESSAGES, new String(request.encode(Dialect.MESSAGES), StandardCharsets.UTF_8));
-            assertEquals(
-                    CompletionRequest.decode(Dialect.CHAT, request.encode(Dialect.CHAT)),
-                    CompletionRequest.decode(Dialect.CHAT, bytes(CHAT)));
+            CompletionRequest request = decode(from, from == Dialect.CHAT ? CHAT : MESSAGES);
+
+            String asMessages = new String(request.encode(Dialect.MESSAGES), StandardCharsets.UTF_8);
+            CompletionRequest asChat = CompletionRequest.decode(Dialect.CHAT, request.encode(Dialect.CHAT));
+
+            assertEquals(MESSAGES, asMessages);
+            assertEquals(decode(Dialect.CHAT, CHAT), asChat);
         }
     }
 
     @Test
-    public void textPartsAreConcatenated() throws CompletionRequest.InvalidCompletionRequestException {
-        CompletionRequest request = CompletionRequest.decode(
-                Dialect.MESSAGES,
-                bytes(
-                        "{\"model\":\"m\",\"max_tokens\":1,\"system\":[{\"type\":\"text\","
-                                + "\"text\":\"a\"},{\"type\":\"text\",\"text\":\"b\"}],\"messages\":[{\"role\":\"user\",\"content\":\"cdefg\"}]}"));
+    public void textPartsAreConcatenated() throws InvalidCompletionRequestException {
+        String body = "{\"model\":\"m\",\"max_tokens\":1,\"system\":[{\"type\":\"text\",\"text\":\"a\"},"
+                + "{\"type\":\"text\",\"text\":\"b\"}],\"messages\":[{\"role\":\"user\",\"content\":\"cdefg\"}]}";
+
+        CompletionRequest request = decode(Dialect.MESSAGES, body);
+
         assertEquals("ab", request.system());
-        assertEquals(2, request.promptTokens());
+    }
+
+    @Test
+    public void promptTokensAreEstimatedFromCharacters() throws InvalidCompletionRequestException {
+        String body = "{\"model\":\"m\",\"max_tokens\":1,\"system\":\"ab\","
+                + "\"messages\":[{\"role\":\"user\",\"content\":\"cdefg\"}]}";
+
+        CompletionRequest request = decode(Dialect.MESSAGES, body);
+
+        assertEquals("seven characters, rounded up", 2, request.promptTokens());
+        assertEquals("two characters, rounded up", 1, request.systemTokens());
     }
 
     @Test
     public void invalidRequestIsRejectedWithFieldName() {
-        for (String[] row : INVALID_REQUESTS) {
+        for (Invalid invalid : INVALID_REQUESTS) {
             String message = assertThrows(
-                            row[1],
-                            CompletionRequest.InvalidCompletionRequestException.class,
-                            () -> CompletionRequest.decode(Dialect.valueOf(row[0]), bytes(row[1])))
+                            invalid.body(),
+                            InvalidCompletionRequestException.class,
+                            () -> decode(invalid.dialect(), invalid.body()))
                     .getMessage();
-            assertEquals(message, true, message.contains(row[2]));
+
+            assertTrue(message, message.contains(invalid.expectedWord()));
         }
     }
 }
--- a/node/src/test/java/fawnlb/translation/FirstEventBufferTest.java
+++ b/node/src/test/java/fawnlb/translation/FirstEventBufferTest.java
@@ -6,18 +6,22 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import org.junit.Test;
 
 public class FirstEventBufferTest {
-    /** What came before the first event was whole, and what came from its end on. */
-    private static final String[][] CASES = {
-        {"data: a", "\n\n"},
-        {"data: a\n", "\n"},
-        {"data: a\r\n", "\r\ndata: b"},
-        {": hello\n\n", "data: a\n\ndata"},
-        {"event: e\n\ndata", ": a\n\n"},
-        {"event: e\ndata: a", "\r\rdata: b"}
-    };
+    /** Bytes of an incomplete first event, and the bytes that complete it. */
+    private record Split(String incomplete, String completion) {}
+
+    private static final List<Split> SPLITS = List.of(
+            new Split("data: a", "\n\n"),
+            new Split("data: a\n", "\n"),
+            new Split("data: a\r\n", "\r\ndata: b"),
+            new Split(": hello\n\n", "data: a\n\ndata"),
+            new Split("event: e\n\ndata", ": a\n\n"),
+            new Split("event: e\ndata: a", "\r\rdata: b"));
+
+    private final FirstEventBuffer buffer = new FirstEventBuffer();
 
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
@@ -29,35 +33,44 @@
 
     @Test
     public void incompleteFirstEventIsBufferedAndCompletedEventIsReleased() throws IOException {
-        for (String[] row : CASES) {
-            FirstEventBuffer buffer = new FirstEventBuffer();
-            for (char c : row[0].toCharArray()) {
-                assertEquals(row[0], "", text(buffer.feed(bytes(String.valueOf(c)))));
+        for (Split split : SPLITS) {
+            FirstEventBuffer splitBuffer = new FirstEventBuffer();
+            String incomplete = split.incomplete();
+
+            for (char c : incomplete.toCharArray()) {
+                assertEquals(incomplete, "", text(splitBuffer.feed(bytes(String.valueOf(c)))));
             }
-            assertEquals(row[0].length(), buffer.bufferedBytes());
-            assertEquals(row[0], row[0] + row[1], text(buffer.feed(bytes(row[1]))));
-            assertEquals(0, buffer.bufferedBytes());
-            assertEquals("half an event later", "data: c", text(buffer.feed(bytes("data: c"))));
+            assertEquals(incomplete.length(), splitBuffer.bufferedBytes());
+
+            String released = text(splitBuffer.feed(bytes(split.completion())));
+            assertEquals(incomplete, incomplete + split.completion(), released);
+            assertEquals(0, splitBuffer.bufferedBytes());
+
+            assertEquals("half an event later", "data: c", text(splitBuffer.feed(bytes("data: c"))));
         }
     }
 
     @Test
-    public void releaseReturnsBufferedBytesOfIncompleteEvent() throws IOException {
-        FirstEventBuffer buffer = new FirstEventBuffer();
+    public void releaseOfEmptyBufferReturnsNothing() {
         assertEquals("", text(buffer.release()));
-        buffer = new FirstEventBuffer();
+    }
+
+    @Test
+    public void releaseReturnsBufferedBytesOfIncompleteEvent() throws IOException {
         buffer.feed(bytes("data: ha"));
+
         assertEquals("data: ha", text(buffer.release()));
+
         assertEquals(0, buffer.bufferedBytes());
         assertEquals("lf", text(buffer.feed(bytes("lf"))));
     }
 
     @Test
     public void commentsBeyondSizeLimitAreRejected() throws IOException {
-        FirstEventBuffer buffer = new FirstEventBuffer();
         for (int i = 0; i < 256; i++) {
             buffer.feed(bytes(":" + "x".repeat(1021) + "\n\n"));
         }
-        assertThrows(IOException.class, () -> buffer.feed(bytes(":\n\n")));
+
+        assertThrows(MalformedResponseException.class, () -> buffer.feed(bytes(":\n\n")));
     }
 }
--- a/node/src/test/java/fawnlb/translation/ResponseTranslatorTest.java
+++ b/node/src/test/java/fawnlb/translation/ResponseTranslatorTest.java
@@ -8,6 +8,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import org.junit.Test;
 
 public class ResponseTranslatorTest {
@@ -27,135 +28,196 @@
                     + "event: message_delta\ndata: {\"delta\":{\"stop_reason\":\"max_tokens\"},\"usage\":{\"output_tokens\":2}}\n\n"
                     + "event: message_stop\ndata: {\"type\":\"message_stop\"}\n\n";
 
-    private static String translate(ResponseTranslator translation, String in, int chunkSize) throws IOException {
-        byte[] bytes = in.getBytes(StandardCharsets.UTF_8);
-        StringBuilder out = new StringBuilder();
+    private static final int ANY_CHUNK_SIZE = 9;
+
+    /** A part of a response in one dialect. */
+    private record Response(Dialect dialect, String text) {}
+
+    private static final List<Response> STREAMS =
+            List.of(new Response(Dialect.CHAT, CHAT), new Response(Dialect.MESSAGES, MESSAGES));
+
+    private static String translate(ResponseTranslator translator, String response, int chunkSize) throws IOException {
+        byte[] bytes = response.getBytes(StandardCharsets.UTF_8);
+        StringBuilder translated = new StringBuilder();
         for (int at = 0; at < bytes.length; at += chunkSize) {
-            ByteBuffer part = ByteBuffer.wrap(bytes, at, Math.min(chunkSize, bytes.length - at));
-            out.append(StandardCharsets.UTF_8.decode(translation.feed(part)));
+            ByteBuffer chunk = ByteBuffer.wrap(bytes, at, Math.min(chunkSize, bytes.length - at));
+            translated.append(StandardCharsets.UTF_8.decode(translator.feed(chunk)));
         }
-        return out.toString();
+        return translated.toString();
     }
 
-    /** The names of messages events, or the gist of chat chunks. */
-    private static String eventNames(String events) {
-        StringBuilder out = new StringBuilder();
-        events.lines().forEach(line -> out.append(line.startsWith("event: ") ? line.substring(7) + ' ' : ""));
-        return out.toString().trim();
+    private static String translateBody(ResponseTranslator translator, String body) throws IOException {
+        translate(translator, body, ANY_CHUNK_SIZE);
+        return StandardCharsets.UTF_8.decode(translator.finish()).toString();
+    }
+
+    /** Returns the names of a stream's events in their order. */
+    private static String eventNames(String stream) {
+        StringBuilder names = new StringBuilder();
+        stream.lines().forEach(line -> names.append(line.startsWith("event: ") ? line.substring(7) + ' ' : ""));
+        return names.toString().trim();
+    }
+
+    private static void assertContains(String text, String... parts) {
+        for (String part : parts) {
+            assertTrue(text, text.contains(part));
+        }
     }
 
     @Test
     public void chatStreamIsTranslatedToMessagesIncrementally() throws IOException {
         for (int chunkSize : new int[] {1, 5, 10_000}) {
-            ResponseTranslator translation = new ResponseTranslator(Dialect.CHAT, Dialect.MESSAGES, true);
-            String out = translate(translation, CHAT, chunkSize);
+            ResponseTranslator translator = ResponseTranslator.forStream(Dialect.CHAT, Dialect.MESSAGES);
+
+            String translated = translate(translator, CHAT, chunkSize);
+            translator.finish();
+
             assertEquals(
                     "message_start content_block_start content_block_delta content_block_delta content_block_stop "
                             + "message_delta message_stop",
-                    eventNames(out));
-            assertTrue(
-                    out,
-                    out.contains("\"text\":\"He\"")
-                            && out.contains("\"stop_reason\":\"max_tokens\"")
-                            && out.contains("\"output_tokens\":2")
-                            && out.contains("\"cache_read_input_tokens\":4"));
-            translation.finish();
-            assertEquals(11, translation.totalTokens());
-            assertEquals(0, translation.unrecognizedEvents());
+                    eventNames(translated));
+            assertContains(
+                    translated,
+                    "\"text\":\"He\"",
+                    "\"stop_reason\":\"max_tokens\"",
+                    "\"output_tokens\":2",
+                    "\"cache_read_input_tokens\":4");
+            assertEquals(11, translator.totalTokens());
+            assertEquals(0, translator.unrecognizedEvents());
         }
     }
 
     @Test
     public void messagesStreamIsTranslatedToChatIncrementally() throws IOException {
         for (int chunkSize : new int[] {1, 5, 10_000}) {
-            ResponseTranslator translation = new ResponseTranslator(Dialect.MESSAGES, Dialect.CHAT, true);
-            String out = translate(translation, MESSAGES, chunkSize);
-            assertTrue(
-                    out,
-                    out.contains("\"content\":\"Hello\"")
-                            && out.contains("\"finish_reason\":\"length\"")
-                            && out.contains("\"prompt_tokens\":9")
-                            && out.endsWith("data: [DONE]\n\n"));
-            translation.finish();
-            assertEquals(0, translation.unrecognizedEvents());
+            ResponseTranslator translator = ResponseTranslator.forStream(Dialect.MESSAGES, Dialect.CHAT);
+
+            String translated = translate(translator, MESSAGES, chunkSize);
+            translator.finish();
+
+            assertContains(translated, "\"content\":\"Hello\"", "\"finish_reason\":\"length\"", "\"prompt_tokens\":9");
+            assertTrue(translated, translated.endsWith("data: [DONE]\n\n"));
+            assertEquals(0, translator.unrecognizedEvents());
         }
     }
 
     @Test
-    public void unrecognizedEventsAreSkippedAndCounted() throws IOException {
-        String odd =
-                "event: sparkle\ndata: {{{\n\nevent: content_block_delta\ndata: {\"delta\":{\"type\":\"thinking_delta\"}}\n\n";
-        ResponseTranslator messages = new ResponseTranslator(Dialect.MESSAGES, Dialect.CHAT, true);
-        String plain = translate(new ResponseTranslator(Dialect.MESSAGES, Dialect.CHAT, true), MESSAGES, 9999);
-        assertEquals(plain, translate(messages, odd + MESSAGES, 3));
-        assertEquals(2, messages.unrecognizedEvents());
-        ResponseTranslator chat = new ResponseTranslator(Dialect.CHAT, Dialect.MESSAGES, true);
-        translate(chat, "event: sparkle\ndata: x\n\ndata: {\"object\":\"new\"}\n\n" + CHAT, 4);
-        assertEquals(2, chat.unrecognizedEvents());
+    public void unrecognizedMessagesEventsAreSkippedAndCounted() throws IOException {
+        String unrecognized = "event: sparkle\ndata: {{{\n\n"
+                + "event: content_block_delta\ndata: {\"delta\":{\"type\":\"thinking_delta\"}}\n\n";
+        String expected =
+                translate(ResponseTranslator.forStream(Dialect.MESSAGES, Dialect.CHAT), MESSAGES, MESSAGES.length());
+        ResponseTranslator translator = ResponseTranslator.forStream(Dialect.MESSAGES, Dialect.CHAT);
+
+        String translated = translate(translator, unrecognized + MESSAGES, 3);
+
+        assertEquals(expected, translated);
+        assertEquals(2, translator.unrecognizedEvents());
+    }
+
+    @Test
+    public void unrecognizedChatEventsAreCounted() throws IOException {
+        String unrecognized = "event: sparkle\ndata: x\n\ndata: {\"object\":\"new\"}\n\n";
+        ResponseTranslator translator = ResponseTranslator.forStream(Dialect.CHAT, Dialect.MESSAGES);
+
+        translate(translator, unrecognized + CHAT, 4);
+
+        assertEquals(2, translator.unrecognizedEvents());
     }
 
     @Test
     public void truncatedStreamNeverEmitsFinalEvent() throws IOException {
-        for (Dialect from : Dialect.values()) {
-            Dialect to = from == Dialect.CHAT ? Dialect.MESSAGES : Dialect.CHAT;
-            String all = from == Dialect.CHAT ? CHAT : MESSAGES;
-            for (int end = 0; end < all.length() - 1; end += 7) {
-                ResponseTranslator translation = new ResponseTranslator(from, to, true);
-                String out = translate(translation, all.substring(0, end), 50);
-                assertFalse(out, out.contains("message_stop") || out.contains("[DONE]"));
-                assertThrows(IOException.class, translation::finish);
+        for (Response stream : STREAMS) {
+            for (int end = 0; end < stream.text().length() - 1; end += 7) {
+                ResponseTranslator translator = ResponseTranslator.forStream(
+                        stream.dialect(), stream.dialect().other());
+
+                String translated = translate(translator, stream.text().substring(0, end), 50);
+
+                assertFalse(translated, translated.contains("message_stop") || translated.contains("[DONE]"));
+                assertThrows(MalformedResponseException.class, translator::finish);
             }
         }
     }
 
     @Test
     public void errorEventIsForwardedWithoutFinalEvent() throws IOException {
-        String[][] cases = {
-            {"MESSAGES", "event: error\ndata: {\"error\":{\"type\":\"overloaded_error\",\"message\":\"b\"}}\n\n"},
-            {"CHAT", "data: {\"error\":{\"type\":\"overloaded_error\",\"message\":\"b\"}}\n\n"}
-        };
-        for (String[] row : cases) {
-            Dialect from = Dialect.valueOf(row[0]);
-            ResponseTranslator translation =
-                    new ResponseTranslator(from, from == Dialect.CHAT ? Dialect.MESSAGES : Dialect.CHAT, true);
-            assertTrue(translate(translation, row[1], 100).contains("overloaded_error"));
-            assertThrows(IOException.class, translation::finish);
+        List<Response> errors = List.of(
+                new Response(
+                        Dialect.MESSAGES,
+                        "event: error\ndata: {\"error\":{\"type\":\"overloaded_error\",\"message\":\"b\"}}\n\n"),
+                new Response(Dialect.CHAT, "data: {\"error\":{\"type\":\"overloaded_error\",\"message\":\"b\"}}\n\n"));
+        for (Response error : errors) {
+            ResponseTranslator translator = ResponseTranslator.forStream(
+                    error.dialect(), error.dialect().other());
+
+            String translated = translate(translator, error.text(), 100);
+
+            assertContains(translated, "overloaded_error");
+            assertThrows(MalformedResponseException.class, translator::finish);
         }
     }
 
     @Test
     public void malformedKnownEventsAreRejected() {
-        for (String[] row : new String[][] {
-            {"CHAT", "data: {\"choices\":[\n\n"},
-            {"CHAT", "data: [1]\n\n"},
-            {"MESSAGES", "event: message_start\ndata: nonsense\n\n"}
-        }) {
-            assertThrows(
-                    IOException.class,
-                    () -> translate(new ResponseTranslator(Dialect.valueOf(row[0]), Dialect.CHAT, true), row[1], 9));
+        List<Response> malformed = List.of(
+                new Response(Dialect.CHAT, "data: {\"choices\":[\n\n"),
+                new Response(Dialect.CHAT, "data: [1]\n\n"),
+                new Response(Dialect.MESSAGES, "event: message_start\ndata: nonsense\n\n"));
+        for (Response response : malformed) {
+            ResponseTranslator translator = ResponseTranslator.forStream(response.dialect(), Dialect.CHAT);
+
+            assertThrows(MalformedJsonException.class, () -> translate(translator, response.text(), ANY_CHUNK_SIZE));
         }
     }
 
     @Test
-    public void completeResponsesAreTranslated() throws IOException {
-        ResponseTranslator chat = new ResponseTranslator(Dialect.CHAT, Dialect.MESSAGES, false);
-        translate(
-                chat,
-                "{\"id\":\"c\",\"model\":\"m\",\"choices\":[{\"message\":{\"content\":\"Hi\"},\"finish_reason\":\"stop\"}],"
-                        + "\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":1}}",
-                8);
+    public void chatBodyIsTranslatedToMessages() throws IOException {
+        String body = "{\"id\":\"c\",\"model\":\"m\",\"choices\":[{\"message\":{\"content\":\"Hi\"},"
+                + "\"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":1}}";
+
+        String translated = translateBody(ResponseTranslator.forBody(Dialect.CHAT, Dialect.MESSAGES), body);
+
         assertEquals(
                 "{\"id\":\"c\",\"type\":\"message\",\"role\":\"assistant\",\"model\":\"m\",\"content\":[{\"type\":\"text\","
                         + "\"text\":\"Hi\"}],\"stop_reason\":\"end_turn\",\"stop_sequence\":null,\"usage\":{\"input_tokens\":3,"
                         + "\"output_tokens\":1,\"cache_read_input_tokens\":0}}",
-                StandardCharsets.UTF_8.decode(chat.finish()).toString());
-        ResponseTranslator messages = new ResponseTranslator(Dialect.MESSAGES, Dialect.CHAT, false);
-        translate(
-                messages,
-                "{\"type\":\"message\",\"id\":\"m\",\"content\":[{\"type\":\"text\",\"text\":\"Hi\"}],"
-                        + "\"stop_reason\":\"end_turn\",\"usage\":{\"input_tokens\":3,\"output_tokens\":1}}",
-                8);
-        assertTrue(StandardCharsets.UTF_8.decode(messages.finish()).toString().contains("\"content\":\"Hi\""));
-        assertThrows(IOException.class, new ResponseTranslator(Dialect.CHAT, Dialect.MESSAGES, false)::finish);
+                translated);
+    }
+
+    @Test
+    public void messagesBodyIsTranslatedToChat() throws IOException {
+        String body = "{\"type\":\"message\",\"id\":\"m\",\"content\":[{\"type\":\"text\",\"text\":\"Hi\"}],"
+                + "\"stop_reason\":\"end_turn\",\"usage\":{\"input_tokens\":3,\"output_tokens\":1}}";
+
+        String translated = translateBody(ResponseTranslator.forBody(Dialect.MESSAGES, Dialect.CHAT), body);
+
+        assertEquals(
+                "{\"id\":\"m\",\"object\":\"chat.completion\",\"model\":\"\",\"choices\":[{\"index\":0,\"message\":"
+                        + "{\"role\":\"assistant\",\"content\":\"Hi\"},\"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":3,"
+                        + "\"completion_tokens\":1,\"total_tokens\":4,\"prompt_tokens_details\":{\"cached_tokens\":0}}}",
+                translated);
+    }
+
+    @Test
+    public void emptyBodyIsRejected() {
+        ResponseTranslator translator = ResponseTranslator.forBody(Dialect.CHAT, Dialect.MESSAGES);
+
+        assertThrows(MalformedJsonException.class, translator::finish);
+    }
+
+    @Test
+    public void errorBodyKeepsMessageOfBackend() throws IOException {
+        String translated = translateBody(
+                ResponseTranslator.forError(Dialect.MESSAGES, 400), "{\"error\":{\"message\":\"prompt is too long\"}}");
+
+        assertEquals(ErrorBody.json(Dialect.MESSAGES, 400, "prompt is too long"), translated);
+    }
+
+    @Test
+    public void errorBodyWithoutMessageGetsDefaultMessage() throws IOException {
+        String translated = translateBody(ResponseTranslator.forError(Dialect.CHAT, 400), "not JSON");
+
+        assertEquals(ErrorBody.json(Dialect.CHAT, 400, "the target refused the request"), translated);
     }
 }
--- a/node/src/test/java/fawnlb/translation/SseParserTest.java
+++ b/node/src/test/java/fawnlb/translation/SseParserTest.java
@@ -6,46 +6,64 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
 import org.junit.Test;
 
 public class SseParserTest {
-    /** Input and its events, as name=data. */
-    private static final String[][] CASES = {
-        {"data: a\n\n", "=a;"},
-        {"data:a\n\n", "=a;"},
-        {"data:  a\n\n", "= a;"},
-        {"event: e\r\ndata: a\r\n\r\n", "e=a;"},
-        {"data: a\r\rdata: b\r\r", "=a;=b;"},
-        {"data: a\ndata: b\ndata\n\n", "=a\nb\n;"},
-        {": comment\ndata: a\nid: 4\nretry: 3\n\n", "=a;"},
-        {"event: e\n\ndata: a\n\n", "=a;"},
-        {"data: a\n", ""},
-        {"data: \u00e9\u4e2d\n\n", "=\u00e9\u4e2d;"},
-        {"data: a\n\n\n\ndata: b\n\n", "=a;=b;"},
-        {"", ""}
-    };
+    /** A stream and the events in it. */
+    private record Case(String stream, List<SseParser.Event> events) {}
+
+    private static Case of(String stream, SseParser.Event... events) {
+        return new Case(stream, List.of(events));
+    }
+
+    private static SseParser.Event data(String data) {
+        return new SseParser.Event("", data);
+    }
+
+    private static SseParser.Event named(String name, String data) {
+        return new SseParser.Event(name, data);
+    }
+
+    private static final List<Case> CASES = List.of(
+            of("data: a\n\n", data("a")),
+            of("data:a\n\n", data("a")),
+            of("data:  a\n\n", data(" a")),
+            of("event: e\r\ndata: a\r\n\r\n", named("e", "a")),
+            of("data: a\r\rdata: b\r\r", data("a"), data("b")),
+            of("data: a\ndata: b\ndata\n\n", data("a\nb\n")),
+            of(": comment\ndata: a\nid: 4\nretry: 3\n\n", data("a")),
+            of("event: e\n\ndata: a\n\n", data("a")),
+            of("data: a\n"),
+            of("data: \u00e9\u4e2d\n\n", data("\u00e9\u4e2d")),
+            of("data: a\n\n\n\ndata: b\n\n", data("a"), data("b")),
+            of(""));
+
+    private static List<SseParser.Event> parse(byte[] stream, int chunkSize) throws IOException {
+        SseParser parser = new SseParser();
+        List<SseParser.Event> events = new ArrayList<>();
+        for (int at = 0; at < stream.length; at += chunkSize) {
+            events.addAll(parser.feed(ByteBuffer.wrap(stream, at, Math.min(chunkSize, stream.length - at))));
+        }
+        return events;
+    }
 
     @Test
     public void eventsAreParsedFromChunksOfAnySize() throws IOException {
-        for (String[] row : CASES) {
-            byte[] in = row[0].getBytes(StandardCharsets.UTF_8);
+        for (Case row : CASES) {
             for (int chunkSize : new int[] {1, 3, 1000}) {
-                SseParser parser = new SseParser();
-                StringBuilder out = new StringBuilder();
-                for (int at = 0; at < in.length; at += chunkSize) {
-                    parser.feed(ByteBuffer.wrap(in, at, Math.min(chunkSize, in.length - at)))
-                            .forEach(e -> out.append(e.name())
-                                    .append('=')
-                                    .append(e.data())
-                                    .append(';'));
-                }
-                assertEquals(row[0], row[1], out.toString());
+                List<SseParser.Event> events = parse(row.stream().getBytes(StandardCharsets.UTF_8), chunkSize);
+
+                assertEquals(row.stream(), row.events(), events);
             }
         }
     }
 
     @Test
     public void eventBeyondSizeLimitIsRejected() {
-        assertThrows(IOException.class, () -> new SseParser().feed(ByteBuffer.wrap(new byte[300_000])));
+        ByteBuffer endless = ByteBuffer.wrap(new byte[300_000]);
+
+        assertThrows(MalformedResponseException.class, () -> new SseParser().feed(endless));
     }
 }
