--- a/lab/src/main/java/fawnlb/lab/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/fawnlb/lab/discovery/DiscoveryServer.java
@@ -6,9 +6,9 @@
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.discovery.EndpointListCodec;
 import fawnlb.eventloop.Timers;
+import fawnlb.lab.net.HttpExchange;
+import fawnlb.lab.net.HttpRequest;
 import fawnlb.lab.net.HttpServer;
-import fawnlb.lab.net.HttpServer.Exchange;
-import fawnlb.lab.net.HttpServer.Request;
 import fawnlb.lab.rules.RuleChecker;
 import java.io.IOException;
 import java.io.StringWriter;
@@ -47,7 +47,7 @@
     private boolean available = true;
     private long bytesSent;
 
-    private record Watch(String node, Exchange exchange) {}
+    private record Watch(String node, HttpExchange exchange) {}
 
     /** Delay: nanoseconds from a change until it is told. */
     public DiscoveryServer(
@@ -148,12 +148,12 @@
         return bytesSent;
     }
 
-    private void writeChunk(Exchange exchange, String text) {
+    private void writeChunk(HttpExchange exchange, String text) {
         bytesSent += text.length();
         exchange.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    private void onRequest(String node, Request request, Exchange exchange) {
+    private void onRequest(String node, HttpRequest request, HttpExchange exchange) {
         long now = timers.now();
         long serviceStart = Math.max(now, idleFrom);
         if (!available || serviceStart - now > MAX_QUEUE_WAIT_NANOS) {
@@ -168,7 +168,7 @@
         });
     }
 
-    private void respond(String node, Request request, Exchange exchange) {
+    private void respond(String node, HttpRequest request, HttpExchange exchange) {
         boolean watching = request.path().contains("watch=1");
         String completeList = formatList(revision, true, members.values());
         recordNotification(node, List.copyOf(members.values()));
--- a/lab/src/main/java/fawnlb/lab/engine/EngineServer.java
+++ b/lab/src/main/java/fawnlb/lab/engine/EngineServer.java
@@ -2,9 +2,9 @@
 
 import fawnlb.eventloop.Timers;
 import fawnlb.lab.net.Fault;
+import fawnlb.lab.net.HttpExchange;
+import fawnlb.lab.net.HttpRequest;
 import fawnlb.lab.net.HttpServer;
-import fawnlb.lab.net.HttpServer.Exchange;
-import fawnlb.lab.net.HttpServer.Request;
 import fawnlb.lab.rules.RuleChecker;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -65,7 +65,7 @@
             int paddingBytes,
             boolean streaming,
             long timeoutNanos) {
-        static CompletionRequest of(Request request) {
+        static CompletionRequest of(HttpRequest request) {
             Map<String, Long> parameters = new HashMap<>();
             for (String parameter :
                     request.path().substring(request.path().indexOf('?') + 1).split("&")) {
@@ -218,13 +218,13 @@
     // ---- What it answers ------------------------------------------------------------------------------
 
     @Override
-    public void onConnected(Exchange exchange) {
+    public void onConnected(HttpExchange exchange) {
         connectionCount++;
         engine.onConnectionOpened();
     }
 
     @Override
-    public void onRequest(Request request, Exchange exchange) {
+    public void onRequest(HttpRequest request, HttpExchange exchange) {
         if (unresponsive) {
             exchange.stopCommunicating();
             return;
@@ -249,7 +249,7 @@
         }
     }
 
-    private void handleCompletion(CompletionRequest request, Exchange exchange) {
+    private void handleCompletion(CompletionRequest request, HttpExchange exchange) {
         long now = timers.now();
         rules.onAttemptReceived(now, request.requestId(), id, () -> exchange.isOpen());
         rules.told(now, request.requestId(), request.timeoutNanos());
@@ -284,7 +284,7 @@
     /** One answer as it is made. */
     private final class GeneratedAnswer implements Engine.TokenListener {
         private final CompletionRequest request;
-        private final Exchange exchange;
+        private final HttpExchange exchange;
         private final Engine servingEngine = engine;
         private final Engine.Sequence sequence;
         private final CRC32C checksum = new CRC32C();
@@ -293,7 +293,7 @@
         private long faultInjectedAt = -1;
         private long lastWriteAt = -1;
 
-        GeneratedAnswer(CompletionRequest request, Exchange exchange) {
+        GeneratedAnswer(CompletionRequest request, HttpExchange exchange) {
             this.request = request;
             this.exchange = exchange;
             this.sequence = new Engine.Sequence(
--- a/lab/src/main/java/fawnlb/lab/net/Fault.java
+++ b/lab/src/main/java/fawnlb/lab/net/Fault.java
@@ -1,46 +1,42 @@
 package fawnlb.lab.net;
 
 /**
- * What is done to the bytes of one answer. {@code offset}: how many bytes of the answer, its head included, come before
- * it strikes; {@code pauseNanos}: nanoseconds, where the answer goes on.
+ * A fault in the bytes of one response.
+ *
+ * @param offset bytes of the response, its head included, that precede a fault with a position
+ * @param pauseNanos length of a {@link Kind#PAUSE}
  */
 public record Fault(Kind kind, int offset, long pauseNanos) {
 
-    /** What can be done to an answer's bytes. */
+    /** The kinds of fault. */
     public enum Kind {
-        /** No further byte, and the connection stays open. */
-        STALL(true),
-        /** No further byte for a while. */
-        PAUSE(true),
-        /** The connection ends. */
-        CLOSE(true),
-        /** The connection is reset. */
-        RESET(true),
-        /** The server's sending ends; it reads on and keeps the connection. */
-        HALF_CLOSE(true),
-        /** Bytes that no dialect has, between those of the answer. */
-        GARBAGE(true),
-        /** A byte is left out, so that what follows does not fit the size that was announced. */
-        MISSING_BYTE(true),
-        /** From here on one byte at a time. */
-        BYTE_AT_A_TIME(true),
-        /** All of it at once at the end. */
-        BUFFERED_TO_END(false),
-        /** A second answer right behind. */
-        DUPLICATE_RESPONSE(false);
+        /** No further bytes; the connection stays open. */
+        STALL,
+        /** No further bytes until the pause is over. */
+        PAUSE,
+        /** The server closes the connection. */
+        CLOSE,
+        /** The server resets the connection. */
+        RESET,
+        /** The server ends its output, keeps reading, and leaves the connection open. */
+        HALF_CLOSE,
+        /** Bytes that no API format contains are inserted. */
+        GARBAGE,
+        /** One byte is omitted, so that the rest does not match the announced size. */
+        MISSING_BYTE,
+        /** The rest is sent one byte at a time. */
+        BYTE_AT_A_TIME,
+        /** The whole response is sent at once when it is complete. */
+        BUFFERED_TO_END,
+        /** A second response follows without a request. */
+        DUPLICATE_RESPONSE;
 
-        private final boolean positional;
-
-        Kind(boolean positional) {
-            this.positional = positional;
-        }
-
-        /** Whether it matters where it strikes. */
+        /** Returns whether the fault occurs at the offset, rather than at the end of the response. */
         public boolean isPositional() {
-            return positional;
+            return this != BUFFERED_TO_END && this != DUPLICATE_RESPONSE;
         }
 
-        /** Whether the answer is whole for all that. */
+        /** Returns whether the client can still read the complete response. */
         public boolean isHarmless() {
             return this == PAUSE || this == BYTE_AT_A_TIME || this == BUFFERED_TO_END || this == DUPLICATE_RESPONSE;
         }
--- a/lab/src/main/java/fawnlb/lab/net/FaultInjector.java
+++ b/lab/src/main/java/fawnlb/lab/net/FaultInjector.java
@@ -1,41 +1,48 @@
 package fawnlb.lab.net;
 
-import fawnlb.lab.net.HttpServer.Exchange;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.concurrent.TimeUnit;
 import org.xnio.XnioExecutor;
 
-/** Carries out a fault on the bytes of one answer, on their way to the connection. */
+/** Alters the bytes of one response on their way to the connection, as a {@link Fault} says. */
 final class FaultInjector {
+    /** Bytes that are valid in no API format and, because of 0xff and 0xc0, not in UTF-8 either. */
     private static final byte[] GARBAGE_BYTES = {
         0, 1, 2, (byte) 0xff, (byte) 0xfe, 3, 4, 5, (byte) 0xc0, 6, 7, 8, 0, 0, 1, 2
     };
+
+    /** The finest interval that the executor keeps: slow enough for each byte to travel alone. */
     private static final long BYTE_INTERVAL_MILLIS = 1;
+
     private static final String DUPLICATE_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond";
 
-    private final Exchange exchange;
+    private final HttpExchange exchange;
     private final Fault fault;
     private final XnioExecutor executor;
     private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
+    /** Response bytes before the fault that were forwarded; counts up to the fault's offset. */
     private int forwardedBytes;
+
     private boolean injected;
     private boolean discarding;
     private boolean buffering;
     private boolean responseEnded;
 
-    FaultInjector(Exchange exchange, Fault fault, XnioExecutor executor) {
+    FaultInjector(HttpExchange exchange, Fault fault, XnioExecutor executor) {
         this.exchange = exchange;
         this.fault = fault;
         this.executor = executor;
         buffering = fault.kind() == Fault.Kind.BUFFERED_TO_END;
     }
 
+    /** Returns whether the response has been altered. */
     boolean isInjected() {
         return injected;
     }
 
+    /** Takes the next bytes of the unaltered response. */
     void write(byte[] bytes) {
         if (discarding) {
             return;
@@ -49,7 +56,9 @@
         forward(Arrays.copyOf(bytes, bytesBeforeFault));
         if (bytesBeforeFault < bytes.length) {
             injected = true;
-            forward(Arrays.copyOfRange(bytes, bytesBeforeFault + inject(), bytes.length));
+            inject();
+            int omittedBytes = fault.kind() == Fault.Kind.MISSING_BYTE ? 1 : 0;
+            forward(Arrays.copyOfRange(bytes, bytesBeforeFault + omittedBytes, bytes.length));
         }
     }
 
@@ -64,8 +73,8 @@
         }
     }
 
-    /** How many bytes more than those before it are left out. */
-    private int inject() {
+    /** Carries out a fault whose offset has been reached. */
+    private void inject() {
         switch (fault.kind()) {
             case STALL -> discarding = true;
             case PAUSE -> {
@@ -86,15 +95,14 @@
             }
             case GARBAGE -> exchange.send(GARBAGE_BYTES);
             case MISSING_BYTE -> {
-                return 1;
+                // The caller leaves the byte out.
             }
             case BYTE_AT_A_TIME -> {
                 buffering = true;
                 executor.executeAfter(this::sendNextByte, BYTE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             }
-            default -> throw new IllegalStateException(fault.kind() + " strikes nowhere");
+            default -> throw new IllegalStateException(fault.kind() + " has no offset");
         }
-        return 0;
     }
 
     private void sendNextByte() {
@@ -115,7 +123,7 @@
         buffered.reset();
     }
 
-    /** The answer's last byte was written. */
+    /** Takes note that the last byte of the unaltered response was written. */
     void endResponse() {
         responseEnded = true;
         injected |= !fault.kind().isPositional();
--- a/lab/src/main/java/fawnlb/lab/net/Ports.java
+++ b/lab/src/main/java/fawnlb/lab/net/Ports.java
@@ -6,17 +6,22 @@
 import java.net.ServerSocket;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Ports for servers of a run. */
+/** Chooses TCP ports for the servers of a run. */
 public final class Ports {
+    /** Ports from 15,000 to 31,999: above the well-known ones and below 32,768, where Linux's ephemeral ports begin. */
     private static final int FIRST_PORT = 15_000;
+
     private static final int PORT_COUNT = 17_000;
+    /** Far more than a machine with some hundred used ports needs. */
     private static final int MAX_ATTEMPTS = 1000;
 
     private Ports() {}
 
     /**
-     * A port that is free at the moment, and not one of those that Linux gives to outgoing connections: while a server
-     * is down, any of these would take its address.
+     * Returns a port that is free at the moment and outside the ephemeral range: an outgoing connection could otherwise
+     * take the port of a server that is down for a while.
+     *
+     * @throws IOException if no free port is found
      */
     public static int findFreePort() throws IOException {
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
@@ -24,7 +29,7 @@
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
             } catch (BindException e) {
-                // Somebody has it.
+                // The port is in use; try another.
             }
         }
         throw new IOException("no free port from " + FIRST_PORT + " on");
