--- a/node/src/main/java/fawnlb/cli/ClassArchiveWarmup.java
+++ b/node/src/main/java/fawnlb/server/ClassArchiveWarmup.java
@@ -1,4 +1,4 @@
-package fawnlb.cli;
+package fawnlb.server;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -15,19 +15,19 @@
  * record which classes a start needs, so that they are read from an archive from then on; the same run tells an
  * operator whether the program works on a machine at all.
  */
-final class ClassArchiveWarmup {
+public final class ClassArchiveWarmup {
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
     private ClassArchiveWarmup() {}
 
     /** Starts a node with this configuration, as the command line does. */
     @FunctionalInterface
-    interface ServerStarter {
+    public interface ServerStarter {
         Server start(String config) throws Exception;
     }
 
     /** Fails with an exception if the request is not served as it should be. */
-    static void run(ServerStarter starter) throws Exception {
+    public static void run(ServerStarter starter) throws Exception {
         try (ServerSocket backend = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 ServerSocket discovery = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String endpointList =
--- a/node/src/main/java/fawnlb/cli/EndpointPublisher.java
+++ b/node/src/main/java/fawnlb/server/EndpointPublisher.java
@@ -1,4 +1,4 @@
-package fawnlb.cli;
+package fawnlb.server;
 
 import fawnlb.backend.BackendPool;
 import fawnlb.decision.Endpoint;
--- a/node/src/main/java/fawnlb/cli/LogWriter.java
+++ b/node/src/main/java/fawnlb/server/LogWriter.java
@@ -1,4 +1,4 @@
-package fawnlb.cli;
+package fawnlb.server;
 
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
@@ -14,16 +14,16 @@
  * is read too slowly or not at all: a write to it then never returns, and it must not be the I/O thread that waits for
  * it.
  */
-final class LogWriter extends Handler {
+public final class LogWriter extends Handler {
     /** Lines that may wait; those beyond are counted and left out. */
-    static final int QUEUE_CAPACITY = 1024;
+    public static final int QUEUE_CAPACITY = 1024;
 
     private final BlockingQueue<LogRecord> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final AtomicLong droppedRecords = new AtomicLong();
     private final Handler[] handlers;
     private volatile boolean isWriting;
 
-    LogWriter(Handler... handlers) {
+    public LogWriter(Handler... handlers) {
         this.handlers = handlers.clone();
         Thread thread = new Thread(this::writeQueuedRecords, "log");
         thread.setDaemon(true);
@@ -31,7 +31,7 @@
     }
 
     /** Puts itself before all handlers of the root logger. */
-    static LogWriter install() {
+    public static LogWriter install() {
         Logger root = LogManager.getLogManager().getLogger("");
         Handler[] installedHandlers = root.getHandlers();
         for (Handler handler : installedHandlers) {
@@ -74,7 +74,7 @@
     }
 
     /** Waits until all lines are written, for so many milliseconds at most. */
-    void awaitWritten(long timeoutMillis) throws InterruptedException {
+    public void awaitWritten(long timeoutMillis) throws InterruptedException {
         for (long remainingMillis = timeoutMillis;
                 remainingMillis > 0 && (isWriting || !queue.isEmpty());
                 remainingMillis--) {
--- a/node/src/main/java/fawnlb/cli/RestoredEndpoints.java
+++ b/node/src/main/java/fawnlb/server/RestoredEndpoints.java
@@ -1,4 +1,4 @@
-package fawnlb.cli;
+package fawnlb.server;
 
 import fawnlb.config.StartupConfiguration;
 import fawnlb.discovery.EndpointList;
--- a/node/src/main/java/fawnlb/cli/Server.java
+++ b/node/src/main/java/fawnlb/server/Server.java
@@ -1,4 +1,4 @@
-package fawnlb.cli;
+package fawnlb.server;
 
 import fawnlb.admin.AdminHandler;
 import fawnlb.backend.BackendPool;
@@ -55,7 +55,7 @@
 import org.xnio.XnioWorker;
 
 /** One running node: its actors, all on one I/O thread, and its planned end. */
-final class Server {
+public final class Server {
     private static final Logger LOG = Logger.getLogger(Server.class.getName());
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long HEALTH_CHECK_TIMEOUT_NANOS = NANOS_PER_SECOND / 2;
@@ -63,7 +63,7 @@
      * A second answer comes some milliseconds late, says the operators' page; ten times as long is still little to
      * wait.
      */
-    static final long CONNECTION_REUSE_DELAY_NANOS = NANOS_PER_SECOND / 20;
+    public static final long CONNECTION_REUSE_DELAY_NANOS = NANOS_PER_SECOND / 20;
     /** New connections keep coming for up to 0.4 s after SIGTERM. */
     private static final long ACCEPT_GRACE_PERIOD_MILLIS = 600;
     /** A planned end looks so often at what is left. */
@@ -123,7 +123,7 @@
      * Broker: the second front's configuration, null if it is off. Start: what is remembered, and how it is believed.
      * Stream: when streams are given up.
      */
-    Server(
+    public Server(
             ServerConfiguration configuration,
             MessagesConfiguration messages,
             StartupConfiguration startup,
@@ -134,7 +134,7 @@
         this.streaming = streaming;
     }
 
-    synchronized void start() throws IOException {
+    public synchronized void start() throws IOException {
         LoadBalancerSettings settings = configuration.settings();
         worker = startupRetry.run("I/O thread", Server::createWorker);
         XnioIoThread thread = worker.getIoThread();
@@ -294,12 +294,12 @@
     }
 
     /** Where the platform's front (0), the broker's or the admin listener (in this order, if they are on) listens. */
-    InetSocketAddress address(int listenerIndex) {
+    public InetSocketAddress address(int listenerIndex) {
         return listeners.addressAt(listenerIndex);
     }
 
     /** Flows that are not over, or whose attempt is still out. */
-    int openRequests() {
+    public int openRequests() {
         return requestProxy.openRequests();
     }
 
@@ -364,7 +364,7 @@
     }
 
     /** SIGHUP: the list comes from where the new configuration says; all else stays as the node was started. */
-    synchronized void reload(ServerConfiguration newConfiguration) {
+    public synchronized void reload(ServerConfiguration newConfiguration) {
         discovery.changeAddress(newConfiguration.discoveryAddress());
     }
 
@@ -372,7 +372,7 @@
      * SIGTERM: takes what still comes for a moment, answers all that was taken, and ends. Whoever asks again waits for
      * it. A start that is under way comes to its end before, for it may have let clients in.
      */
-    void shutDownGracefully() {
+    public void shutDownGracefully() {
         isShutdownRequested = true;
         synchronized (shutdownLock) {
             if (!isShutDown && isStarted()) {
@@ -418,7 +418,7 @@
     }
 
     /** Ends at once, whatever is being served. */
-    void stopNow() {
+    public void stopNow() {
         listeners.closeNow();
         worker.shutdownNow();
     }
--- a/node/src/main/java/fawnlb/cli/SignalHandlers.java
+++ b/node/src/main/java/fawnlb/server/SignalHandlers.java
@@ -1,4 +1,4 @@
-package fawnlb.cli;
+package fawnlb.server;
 
 import java.lang.reflect.Proxy;
 
@@ -7,7 +7,7 @@
  * {@code sun.misc} of the module {@code jdk.unsupported} is the one that it keeps for this, and it is reached by
  * reflection because the compiler warns of it in a way that can't be suppressed.
  */
-final class SignalHandlers {
+public final class SignalHandlers {
     private SignalHandlers() {}
 
     /**
@@ -16,7 +16,7 @@
      * @return false if whoever started the process has it ignore the signal, as nohup does with HUP: it never comes
      *     then
      */
-    static boolean install(String signalName, Runnable task) {
+    public static boolean install(String signalName, Runnable task) {
         try {
             Class<?> signalClass = Class.forName("sun.misc.Signal");
             Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
--- a/node/src/main/java/fawnlb/cli/StartupRetry.java
+++ b/node/src/main/java/fawnlb/server/StartupRetry.java
@@ -1,4 +1,4 @@
-package fawnlb.cli;
+package fawnlb.server;
 
 import java.io.IOException;
 import java.io.InterruptedIOException;
--- a/node/src/test/java/fawnlb/PackagesTest.java
+++ b/node/src/test/java/fawnlb/PackagesTest.java
@@ -55,7 +55,8 @@
         List<String> cycles = new ArrayList<>();
         graph.keySet().forEach(name -> collectCycles(graph, name, new ArrayList<>(), cycles));
         assertEquals(List.of(), cycles);
-        assertTrue(graph.containsKey("fawnlb.proxy") && graph.get("fawnlb.cli").contains("fawnlb.proxy"));
+        assertTrue(
+                graph.containsKey("fawnlb.proxy") && graph.get("fawnlb.server").contains("fawnlb.proxy"));
     }
 
     @Test
--- a/node/src/test/java/fawnlb/cli/LogWriterTest.java
+++ b/node/src/test/java/fawnlb/cli/LogWriterTest.java
@@ -3,6 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
+import fawnlb.server.LogWriter;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
--- a/node/src/test/java/fawnlb/cli/RequestProxyingTest.java
+++ b/node/src/test/java/fawnlb/cli/RequestProxyingTest.java
@@ -15,6 +15,7 @@
 import fawnlb.config.ServerConfiguration;
 import fawnlb.config.StartupConfiguration;
 import fawnlb.config.StreamConfiguration;
+import fawnlb.server.Server;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
