--- a/node/src/test/java/fawnlb/DocumentationTest.java
+++ b/node/src/test/java/fawnlb/DocumentationTest.java
@@ -28,8 +28,8 @@
     }
 
     @Test
-    public void classesNamedOnRequestPathPageExist() throws IOException {
-        String page = Files.readString(ROOT.resolve("docs/request-path.md"));
+    public void classesNamedOnTheArchitecturePageExist() throws IOException {
+        String page = Files.readString(ROOT.resolve("docs/ARCHITECTURE.md"));
         List<String> names = findAll(CLASS, page);
         assertTrue(names.toString(), names.size() > 20);
         assertEquals(
