--- /dev/null
+++ b/node/src/main/java/fawnlb/backend/AttemptExchange.java
@@ -0,0 +1,341 @@
+package fawnlb.backend;
+
+import fawnlb.eventloop.Timers;
+import fawnlb.http.ResponseHead;
+import fawnlb.proxy.Backends;
+import fawnlb.proxy.ResponseSource;
+import fawnlb.stream.EndReason;
+import fawnlb.stream.ResponseStream;
+import fawnlb.stream.StreamRegistry;
+import fawnlb.translation.Dialect;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.Optional;
+
+/**
+ * One attempt of a client's request: sends it, relays the response to a sink, and reports how it ends.
+ *
+ * <p>The sink gets one chunk at a time; the connection is read again when the sink has asked for the next one. The
+ * {@link ResponseStream} decides when a silence or a slow client ends the attempt. The methods of
+ * {@link ResponseSource} may be called from other actors and leave messages; everything else runs in the backend's
+ * actor.
+ */
+final class AttemptExchange extends BackendExchange implements ResponseSource, StreamRegistry.Owner {
+    /** The body of an error is read up to this size and time, so that its connection can be used again. */
+    private static final int MAX_DISCARDED_BYTES = 64 * 1024;
+
+    private static final long DISCARD_TIMEOUT_NANOS = 250_000_000;
+
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int OVERLOADED = 529;
+
+    private final AttemptParameters parameters;
+    private final OutboundRequest request;
+    private final Backends.AttemptListener listener;
+    private final SendGuard sendGuard;
+    private final AttemptReporter reporter;
+    private final ResponseTail tail = new ResponseTail();
+    private ResponseStream stream;
+    private StreamWakeTimer wakeTimer;
+    private ResponseHead responseHead;
+    private ResponseKind responseKind;
+    /** Null before the head, and for a response that is not relayed. */
+    private RelayedBody body;
+
+    private boolean isResponseComplete;
+    private long discardedBytes;
+    private Timers.Timer discardTimer;
+    private Sink sink;
+    /** A chunk for a sink that is not known yet. */
+    private ByteBuffer pendingChunk;
+
+    AttemptExchange(Backend backend, AttemptParameters parameters, Backends.AttemptListener listener) {
+        super(backend);
+        this.parameters = parameters;
+        this.request = parameters.request();
+        this.listener = listener;
+        this.reporter = new AttemptReporter(backend, request, listener, tail);
+        this.sendGuard = new SendGuard(backend, parameters, listener);
+    }
+
+    /** Registers the attempt's stream; called once, before {@link #start}. */
+    void openStream() {
+        stream = backend()
+                .streams()
+                .open(
+                        now(),
+                        backend().identity().id(),
+                        parameters.promptTokens(),
+                        parameters.responseDeadlineNanos(),
+                        parameters.retryPossible(),
+                        request.isStreamed(),
+                        this);
+        wakeTimer = new StreamWakeTimer(stream, backend().timers(), this::tell);
+        wakeTimer.schedule();
+    }
+
+    private long now() {
+        return backend().timers().now();
+    }
+
+    private void tell(Runnable message) {
+        backend().mailbox().tellOrFail(message, this::onInternalError);
+    }
+
+    // ---- Sending -------------------------------------------------------------------------------------------
+
+    @Override
+    boolean maySend() {
+        Optional<SendObstacle> obstacle = sendGuard.findObstacle();
+        obstacle.ifPresent(SendObstacle::count);
+        return obstacle.isEmpty();
+    }
+
+    @Override
+    ByteBuffer[] encodeRequest() {
+        long remainingNanos = Math.max(0, parameters.responseDeadlineNanos() - now());
+        return request.encode(backend().dialect(), backend().identity().hostAndPort(), remainingNanos);
+    }
+
+    @Override
+    void onRequestSent() {
+        sendGuard.verifySent();
+    }
+
+    // ---- The response --------------------------------------------------------------------------------------
+
+    @Override
+    public void onHead(ResponseHead response) {
+        responseHead = response;
+        responseKind = ResponseKind.of(response);
+        stream.onHead(now(), responseKind.isRelayed());
+        if (responseKind.isRelayed()) {
+            body = RelayedBody.create(request, backend().dialect(), response.status(), responseKind, tail);
+            wakeTimer.schedule();
+        } else {
+            wakeTimer.cancel();
+            discardTimer = backend().timers().schedule(DISCARD_TIMEOUT_NANOS, () -> tell(() -> abort(failureReason())));
+        }
+    }
+
+    @Override
+    public void onBody(ByteBuffer bytes) {
+        if (body == null) {
+            discard(bytes);
+            return;
+        }
+        try {
+            tail.add(bytes);
+            deliver(body.feed(bytes));
+        } catch (IOException e) {
+            abort(EndReason.MALFORMED);
+        }
+    }
+
+    private void discard(ByteBuffer bytes) {
+        discardedBytes += bytes.remaining();
+        if (discardedBytes > MAX_DISCARDED_BYTES) {
+            abort(failureReason());
+        } else {
+            connection().resumeReading();
+        }
+    }
+
+    private void deliver(ByteBuffer bytes) {
+        if (!bytes.hasRemaining()) {
+            stream.onPartialData(now());
+            stream.setBufferedBytes(body.bufferedBytes());
+            resumeReading();
+            return;
+        }
+        stream.onChunk(now(), bytes.remaining());
+        reportResponse();
+        passToSink(bytes);
+    }
+
+    private void passToSink(ByteBuffer bytes) {
+        if (sink == null) {
+            pendingChunk = bytes;
+        } else {
+            sink.onChunk(bytes);
+        }
+    }
+
+    /** Reads on, unless the exchange has lost its connection meanwhile. */
+    private void resumeReading() {
+        if (connection() != null) {
+            wakeTimer.schedule();
+            connection().resumeReading();
+        }
+    }
+
+    /**
+     * Reports the response with its first whole event, not with its head: until then the client has seen nothing, and
+     * the request can still be sent to another backend.
+     */
+    private void reportResponse() {
+        reporter.reportResponse(responseHead, responseKind, this);
+    }
+
+    @Override
+    void onResponseComplete() {
+        isResponseComplete = body != null && deliverRemainder();
+        if (reporter.isResponseReported() && !isResponseComplete) {
+            // The framing has ended and the answer has not: the client must not take it for complete.
+            finish(EndReason.TRUNCATED);
+            return;
+        }
+        if (responseKind == ResponseKind.CLIENT_ERROR) {
+            reportResponse();
+            finish(EndReason.REJECTED);
+            return;
+        }
+        // A stream that has ended without an event is no answer.
+        finish(reporter.isResponseReported() ? EndReason.COMPLETED : failureReason());
+    }
+
+    /** Passes on what the body still holds, and returns whether the answer is complete. */
+    private boolean deliverRemainder() {
+        try {
+            ByteBuffer remainder = body.finish();
+            if (remainder.hasRemaining()) {
+                stream.setBufferedBytes(0);
+                stream.onChunk(now(), remainder.remaining());
+                reportResponse();
+                passToSink(remainder);
+            }
+            return true;
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
+    /** Why a response that the client does not get has ended. */
+    private EndReason failureReason() {
+        // In the messages dialect, 429 and 529 say that the request was not run.
+        boolean isOverloadStatus = responseHead.status() == TOO_MANY_REQUESTS || responseHead.status() == OVERLOADED;
+        if (responseHead.header("x-not-run").equals("1")
+                || backend().dialect() == Dialect.MESSAGES && isOverloadStatus) {
+            return EndReason.NOT_ACCEPTED;
+        }
+        return responseKind.isRelayed() ? EndReason.TRUNCATED : EndReason.BACKEND_ERROR;
+    }
+
+    // ---- The client's side: called by the sink -------------------------------------------------------------
+
+    @Override
+    public void streamTo(Sink to) {
+        tell(() -> {
+            sink = to;
+            if (pendingChunk != null) {
+                sink.onChunk(pendingChunk);
+                pendingChunk = null;
+            }
+            if (isFinished()) {
+                endSink();
+            }
+        });
+    }
+
+    @Override
+    public void requestNextChunk() {
+        tell(() -> {
+            stream.onClientCaughtUp(now());
+            resumeReading();
+        });
+    }
+
+    @Override
+    public void onUnsentBytes(int unsentBytes) {
+        tell(() -> {
+            stream.onClientBackpressure(now(), unsentBytes);
+            wakeTimer.schedule();
+        });
+    }
+
+    @Override
+    public void onSinkClosed() {
+        tell(this::closeStream);
+    }
+
+    // ---- Ending --------------------------------------------------------------------------------------------
+
+    /**
+     * Ends the attempt because nobody waits for it any more. A response whose first event is arriving at its deadline
+     * is relayed instead of being cut.
+     */
+    void cancel(EndReason reason) {
+        if (!isFinished() && reason == EndReason.TIMED_OUT && body != null && body.hasPartialFirstEvent()) {
+            // The next bytes were asked for already, and must not be read before the sink has taken these.
+            connection().pauseReading();
+            deliver(body.releaseFirstEvent());
+            return;
+        }
+        abort(reason);
+        closeStream();
+    }
+
+    private void closeStream() {
+        pendingChunk = null;
+        stream.close();
+        wakeTimer.cancel();
+    }
+
+    @Override
+    public void onClientStalled() {
+        listener.onClientStalled();
+    }
+
+    /** Called by the stream when the backend or the client has been silent for too long, or the buffers are full. */
+    @Override
+    public void endStream(EndReason reason) {
+        boolean wasFinished = isFinished();
+        abort(reason);
+        if (wasFinished) {
+            // The backend's side had ended before; the sink still has to hear that the client's side does.
+            breakSink();
+        }
+    }
+
+    /** Ends the attempt after an exception that nobody expected in one of its messages. */
+    void onInternalError() {
+        abort(EndReason.CONNECTION_LOST);
+        breakSink();
+    }
+
+    private void breakSink() {
+        if (sink != null) {
+            isResponseComplete = false;
+            sink.onBroken(stream.attemptEnd());
+        }
+    }
+
+    @Override
+    void onFinished(EndReason reason) {
+        if (discardTimer != null) {
+            discardTimer.cancel();
+        }
+        if (reason == EndReason.COMPLETED || reason == EndReason.REJECTED) {
+            stream.onResponseComplete(reason);
+        } else {
+            stream.onBackendEnded(reason);
+        }
+        wakeTimer.cancel();
+        wakeTimer.schedule();
+        if (body != null) {
+            reporter.recordUsage(body);
+        }
+        reporter.reportEnd(stream.attemptEnd(), responseHead);
+        if (sink != null) {
+            endSink();
+        }
+    }
+
+    private void endSink() {
+        if (isResponseComplete) {
+            sink.onComplete();
+        } else {
+            sink.onBroken(stream.attemptEnd());
+        }
+    }
+}
--- /dev/null
+++ b/node/src/main/java/fawnlb/backend/AttemptReporter.java
@@ -0,0 +1,71 @@
+package fawnlb.backend;
+
+import fawnlb.http.ResponseHead;
+import fawnlb.metrics.Metrics;
+import fawnlb.metrics.Metrics.Metric;
+import fawnlb.proxy.Backends;
+import fawnlb.proxy.ResponseSource;
+import fawnlb.stream.AttemptEnd;
+import java.util.logging.Logger;
+
+/** Tells the proxy, the metrics and the log what becomes of one attempt. Belongs to the attempt's exchange. */
+final class AttemptReporter {
+    private static final Logger LOG = Logger.getLogger(AttemptReporter.class.getName());
+
+    private final Backend backend;
+    private final OutboundRequest request;
+    private final Backends.AttemptListener listener;
+    private final ResponseTail tail;
+    private boolean isResponseReported;
+
+    /** The tail is the one to which the exchange adds what it reads. */
+    AttemptReporter(Backend backend, OutboundRequest request, Backends.AttemptListener listener, ResponseTail tail) {
+        this.backend = backend;
+        this.request = request;
+        this.listener = listener;
+        this.tail = tail;
+    }
+
+    boolean isResponseReported() {
+        return isResponseReported;
+    }
+
+    /** Reports a response that is relayed; without effect after the first call. */
+    void reportResponse(ResponseHead head, ResponseKind kind, ResponseSource source) {
+        if (isResponseReported) {
+            return;
+        }
+        isResponseReported = true;
+        if (kind == ResponseKind.CLIENT_ERROR) {
+            request.responseSummary().setStatus(head.status());
+            listener.onClientErrorResponse(source);
+        } else {
+            listener.onResponseStarted(source);
+        }
+    }
+
+    /** Records what the body has shown of its usage, before the end is reported. */
+    void recordUsage(RelayedBody body) {
+        OutboundRequest.ResponseSummary summary = request.responseSummary();
+        boolean hasLastEvent = summary.collectsUsage() && tail.hasLastEvent(backend.dialect());
+        summary.recordUsage(backend.dialect(), body.unrecognizedEvents(), body.totalTokens(), hasLastEvent);
+    }
+
+    /** Reports the end; the head is null if none was read. */
+    void reportEnd(AttemptEnd attemptEnd, ResponseHead head) {
+        Metrics.increment(Metric.ATTEMPTS, attemptEnd.label());
+        LOG.fine(() -> request.requestId() + " at " + backend.address() + ": " + attemptEnd.label());
+        listener.onAttemptEnded(
+                attemptEnd,
+                tail.cachedTokens(),
+                LoadReport.parse(loadReport(head), backend.limits().loadReportFields()));
+    }
+
+    /** The load report at the end of the body or, without one there, of the head; empty if there is none. */
+    private String loadReport(ResponseHead head) {
+        if (head == null) {
+            return "";
+        }
+        return tail.loadReport().isEmpty() ? head.header("x-load") : tail.loadReport();
+    }
+}
--- a/node/src/main/java/fawnlb/backend/BackendPool.java
+++ b/node/src/main/java/fawnlb/backend/BackendPool.java
@@ -63,25 +63,16 @@
      */
     public void updateBackend(
             long id, InetSocketAddress address, long startedAtNanos, EndpointPhase phase, Dialect dialect) {
+        BackendIdentity identity = new BackendIdentity(id, address, startedAtNanos, dialect);
         Backend backend = backends.get(id);
-        boolean changed =
-                backend != null && (phase == EndpointPhase.GONE || !backend.matches(address, startedAtNanos, dialect));
+        boolean changed = backend != null
+                && (phase == EndpointPhase.GONE || !backend.identity().equals(identity));
         if (changed) {
             backends.remove(id);
             backend.remove();
         }
         if (phase != EndpointPhase.GONE && (backend == null || changed)) {
-            backend = new Backend(
-                    id,
-                    address,
-                    startedAtNanos,
-                    dialect,
-                    thread,
-                    timers,
-                    new Mailbox(thread, MAILBOX_CAPACITY),
-                    limits,
-                    this,
-                    streams);
+            backend = new Backend(identity, this, new Mailbox(thread, MAILBOX_CAPACITY));
             backends.put(id, backend);
         }
         if (phase != EndpointPhase.GONE) {
@@ -106,35 +97,40 @@
             IncomingRequest request,
             long responseDeadlineNanos,
             long sendDeadlineNanos,
-            boolean canRetry,
-            AttemptListener report) {
+            boolean retryPossible,
+            AttemptListener listener) {
         Backend backend = backends.get(id);
-        if (backend == null || !((OutboundRequest) request.payload()).canBeSentAs(backend.dialect())) {
-            report.onAttemptEnded(AttemptEnd.of(EndReason.NOT_SENT), 0, List.of());
-            return reason -> {};
+        if (backend == null) {
+            return rejectAttempt(listener);
+        }
+        OutboundRequest payload = (OutboundRequest) request.payload();
+        if (!payload.canBeSentAs(backend.dialect())) {
+            return rejectAttempt(listener);
         }
         return backend.startAttempt(
-                (OutboundRequest) request.payload(),
-                request.promptTokens(),
-                responseDeadlineNanos,
-                sendDeadlineNanos,
-                canRetry,
-                report);
+                new AttemptParameters(
+                        payload, request.promptTokens(), responseDeadlineNanos, sendDeadlineNanos, retryPossible),
+                listener);
+    }
+
+    private static Attempt rejectAttempt(AttemptListener listener) {
+        listener.onAttemptEnded(AttemptEnd.of(EndReason.NOT_SENT), 0, List.of());
+        return reason -> {};
     }
 
     /** Where a backend listens, {@code -} if it is not listed. */
     public String describeAddress(long id) {
         Backend backend = backends.get(id);
-        return backend == null ? "-" : backend.hostAndPort();
+        return backend == null ? "-" : backend.identity().hostAndPort();
     }
 
     @Override
-    public void checkHealth(long id, HealthCheckListener report) {
+    public void checkHealth(long id, HealthCheckListener listener) {
         Backend backend = backends.get(id);
         if (backend == null) {
-            report.onHealthChecked(AttemptOutcome.NEVER_SENT, List.of());
+            listener.onHealthChecked(AttemptOutcome.NEVER_SENT, List.of());
         } else {
-            backend.checkHealth(report);
+            backend.checkHealth(listener);
         }
     }
 
@@ -150,6 +146,22 @@
         return openSockets < limits.maxSockets();
     }
 
+    XnioIoThread thread() {
+        return thread;
+    }
+
+    Timers timers() {
+        return timers;
+    }
+
+    Limits limits() {
+        return limits;
+    }
+
+    StreamRegistry streams() {
+        return streams;
+    }
+
     void onSocketOpened() {
         openSockets++;
     }
--- /dev/null
+++ b/node/src/main/java/fawnlb/backend/RelayedBody.java
@@ -0,0 +1,100 @@
+package fawnlb.backend;
+
+import fawnlb.translation.Dialect;
+import fawnlb.translation.ResponseTranslator;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+
+/**
+ * The body of a response on its way to the client: takes the backend's bytes and returns those that can be relayed.
+ * Belongs to the exchange that reads the response.
+ */
+abstract class RelayedBody {
+    private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
+
+    /** Translates the body or reads along; null where nobody needs its content. */
+    private final ResponseTranslator parser;
+
+    RelayedBody(ResponseTranslator parser) {
+        this.parser = parser;
+    }
+
+    /**
+     * Chooses how a body is relayed: translated if the client speaks another dialect, event by event if the client
+     * asked for a stream, and in one piece otherwise.
+     *
+     * @param kind a kind that is relayed
+     * @param tail the end of the body, to which the exchange adds what it reads
+     */
+    static RelayedBody create(
+            OutboundRequest request, Dialect backendDialect, int status, ResponseKind kind, ResponseTail tail) {
+        boolean isError = kind == ResponseKind.CLIENT_ERROR;
+        if (backendDialect != request.dialect()) {
+            return new TranslatedBody(
+                    isError
+                            ? ResponseTranslator.forError(request.dialect(), status)
+                            : ResponseTranslator.create(backendDialect, request.dialect(), request.isStreamed()));
+        }
+        ResponseTranslator usageParser = isError || !request.responseSummary().collectsUsage()
+                ? null
+                : ResponseTranslator.create(backendDialect, backendDialect, request.isStreamed());
+        return request.isStreamed() && !isError
+                ? new StreamedBody(usageParser, backendDialect, tail)
+                : new BufferedBody(usageParser);
+    }
+
+    /**
+     * Takes the next bytes of the backend and returns what the client gets for them, perhaps nothing yet.
+     *
+     * @throws IOException if the body can't be relayed
+     */
+    abstract ByteBuffer feed(ByteBuffer bytes) throws IOException;
+
+    /**
+     * Called when the framing has ended; returns what the client gets besides.
+     *
+     * @throws IOException if the answer itself has not ended
+     */
+    abstract ByteBuffer finish() throws IOException;
+
+    /** Bytes that were taken and can't be relayed yet. */
+    abstract int bufferedBytes();
+
+    /** Whether the first event has begun, and its beginning could be relayed before its end has come. */
+    boolean hasPartialFirstEvent() {
+        return false;
+    }
+
+    /** Returns the beginning of the first event, after {@link #hasPartialFirstEvent} was true. */
+    ByteBuffer releaseFirstEvent() {
+        throw new IllegalStateException("no partial first event");
+    }
+
+    /** Events of a type that is not known, which were left out or relayed unread; 0 where the body is not parsed. */
+    final int unrecognizedEvents() {
+        return parser == null ? 0 : parser.unrecognizedEvents();
+    }
+
+    /** Tokens that the backend has counted; 0 where the body is not parsed. */
+    final long totalTokens() {
+        return parser == null ? 0 : parser.totalTokens();
+    }
+
+    /** Reads along without relaying: what the parser can't read, no client could. */
+    final void inspect(ByteBuffer bytes) throws IOException {
+        if (parser != null) {
+            parser.feed(bytes.duplicate());
+        }
+    }
+
+    /** Ends reading along. */
+    final void finishInspection() throws IOException {
+        if (parser != null) {
+            parser.finish();
+        }
+    }
+
+    static ByteBuffer empty() {
+        return EMPTY.duplicate();
+    }
+}
--- /dev/null
+++ b/node/src/main/java/fawnlb/backend/TranslatedBody.java
@@ -0,0 +1,30 @@
+package fawnlb.backend;
+
+import fawnlb.translation.ResponseTranslator;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+
+/** A body that is translated to the client's dialect as it comes. */
+final class TranslatedBody extends RelayedBody {
+    private final ResponseTranslator translator;
+
+    TranslatedBody(ResponseTranslator translator) {
+        super(translator);
+        this.translator = translator;
+    }
+
+    @Override
+    ByteBuffer feed(ByteBuffer bytes) throws IOException {
+        return translator.feed(bytes);
+    }
+
+    @Override
+    ByteBuffer finish() throws IOException {
+        return translator.finish();
+    }
+
+    @Override
+    int bufferedBytes() {
+        return translator.bufferedBytes();
+    }
+}
--- a/node/src/main/java/fawnlb/translation/MalformedResponseException.java
+++ b/node/src/main/java/fawnlb/translation/MalformedResponseException.java
@@ -6,7 +6,7 @@
 public final class MalformedResponseException extends IOException {
     private static final long serialVersionUID = 1;
 
-    MalformedResponseException(String message) {
+    public MalformedResponseException(String message) {
         super(message);
     }
 }
