--- a/node/src/main/java/fawnlb/admin/AdminHandler.java
+++ b/node/src/main/java/fawnlb/admin/AdminHandler.java
@@ -1,7 +1,6 @@
 package fawnlb.admin;
 
-import fawnlb.client.ClientExchange;
-import fawnlb.client.ResponseFormatter;
+import fawnlb.client.FixedResponse;
 import fawnlb.eventloop.Timers;
 import fawnlb.metrics.Metrics;
 import fawnlb.stream.StreamRegistry;
@@ -53,7 +52,7 @@
     }
 
     private static void respond(HttpServerExchange exchange, int status, String contentType, String text) {
-        ClientExchange.write(exchange, new ResponseFormatter.FixedResponse(status, contentType, text), 0);
+        new FixedResponse(status, contentType, text).send(exchange);
     }
 
     private String formatTargets() {
--- a/node/src/main/java/fawnlb/client/ClientExchange.java
+++ b/node/src/main/java/fawnlb/client/ClientExchange.java
@@ -10,7 +10,6 @@
 import fawnlb.stream.AttemptEnd;
 import fawnlb.stream.EndReason;
 import io.undertow.connector.PooledByteBuffer;
-import io.undertow.server.Connectors;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.server.protocol.http.HttpServerConnection;
 import io.undertow.util.AttachmentKey;
@@ -47,7 +46,7 @@
     private int lastBytes;
     private boolean streamEnded;
     private boolean finished;
-    private ResponseFormatter.ClientOutcome outcome;
+    private ClientOutcome outcome;
 
     public ClientExchange(HttpServerExchange exchange, Mailbox mailbox, ResponseFormatter formatter) {
         this.exchange = exchange;
@@ -109,7 +108,7 @@
         try {
             if (!finished && !exchange.isResponseStarted()) {
                 cancelRequest();
-                sendFixedResponse(formatter.formatFailure(null), 0, ResponseFormatter.ClientOutcome.FAILED, null);
+                sendFixedResponse(formatter.formatFailure(null), 0, ClientOutcome.FAILED, null);
                 return;
             }
         } catch (RuntimeException e) {
@@ -132,7 +131,7 @@
     /** An answer for a request that is over: of no use where its client has left, and a fault where it had one. */
     private void reportLateAnswer(String answer) {
         Invariant.ONE_FINAL_ANSWER.check(
-                outcome == ResponseFormatter.ClientOutcome.GONE, this::requestId, answer + " after it was " + outcome);
+                outcome == ClientOutcome.CLIENT_DISCONNECTED, this::requestId, answer + " after it was " + outcome);
     }
 
     private void cancelRequest() {
@@ -142,10 +141,10 @@
     }
 
     /** Told once, at the end of the exchange. */
-    private void finishAs(ResponseFormatter.ClientOutcome clientOutcome, int status, AttemptEnd cause) {
+    private void finishAs(ClientOutcome clientOutcome, int status, AttemptEnd cause) {
         finished = true;
         outcome = clientOutcome;
-        Metrics.increment(Metric.REQUESTS, clientOutcome);
+        Metrics.increment(Metric.REQUESTS, clientOutcome.label());
         if (currentExchange != null) {
             currentExchange.exchange = null;
         }
@@ -206,7 +205,7 @@
     private void onClientDisconnected() {
         if (!finished) {
             finishAs(
-                    ResponseFormatter.ClientOutcome.GONE,
+                    ClientOutcome.CLIENT_DISCONNECTED,
                     responseChannel == null ? 0 : formatter.backendStatus(),
                     AttemptEnd.of(EndReason.CLIENT_DISCONNECTED));
             cancelRequest();
@@ -258,7 +257,7 @@
             if (!finished) {
                 // Closed without a last chunk: a cut stream must not look finished.
                 writeErrorEvent(attemptEnd);
-                finishAs(ResponseFormatter.ClientOutcome.BROKEN, formatter.backendStatus(), attemptEnd);
+                finishAs(ClientOutcome.INTERRUPTED, formatter.backendStatus(), attemptEnd);
                 IoUtils.safeClose(connection);
             }
         });
@@ -320,47 +319,26 @@
 
     @Override
     public void sendRejection(AttemptEnd cause, long retryAfterNanos) {
-        post(() -> sendFixedResponse(
-                formatter.formatRejection(cause), retryAfterNanos, ResponseFormatter.ClientOutcome.REFUSED, cause));
+        post(() -> sendFixedResponse(formatter.formatRejection(cause), retryAfterNanos, ClientOutcome.REJECTED, cause));
     }
 
     @Override
     public void sendFailure(AttemptEnd cause) {
-        post(() -> sendFixedResponse(formatter.formatFailure(cause), 0, ResponseFormatter.ClientOutcome.FAILED, cause));
+        post(() -> sendFixedResponse(formatter.formatFailure(cause), 0, ClientOutcome.FAILED, cause));
     }
 
     private void sendFixedResponse(
-            ResponseFormatter.FixedResponse response,
-            long retryAfterNanos,
-            ResponseFormatter.ClientOutcome clientOutcome,
-            AttemptEnd cause) {
+            FixedResponse response, long retryAfterNanos, ClientOutcome clientOutcome, AttemptEnd cause) {
         if (finished) {
             reportLateAnswer(clientOutcome + " was to be said");
             return;
         }
         finishAs(clientOutcome, response.status(), cause);
-        write(exchange, response, retryAfterNanos);
-    }
-
-    /** Sends a fixed response; with a time to come back if one is given, in nanoseconds. */
-    public static void write(
-            HttpServerExchange exchange, ResponseFormatter.FixedResponse response, long retryAfterNanos) {
-        if (!exchange.isRequestComplete()) {
-            // Undertow would first read all of a body that nobody wants, be it 60 MB.
-            exchange.setPersistent(false);
-            LingeringClose.markRequestIncomplete(exchange);
-            Connectors.terminateRequest(exchange);
-        }
-        exchange.setStatusCode(response.status());
-        if (retryAfterNanos > 0) {
-            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, RetryAfterHeader.formatSeconds(retryAfterNanos));
-        }
-        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, response.contentType());
-        exchange.getResponseSender().send(response.body());
+        response.send(exchange, retryAfterNanos);
     }
 
     private void completeStream() {
-        finishAs(ResponseFormatter.ClientOutcome.SERVED, formatter.backendStatus(), null);
+        finishAs(ClientOutcome.COMPLETED, formatter.backendStatus(), null);
         exchange.endExchange();
     }
 }
--- a/node/src/main/java/fawnlb/client/ResponseFormatter.java
+++ b/node/src/main/java/fawnlb/client/ResponseFormatter.java
@@ -5,18 +5,6 @@
 
 /** How a front words its answers, and what it wants to hear at the end of each. */
 public interface ResponseFormatter {
-    /** A fixed response. */
-    record FixedResponse(int status, String contentType, String body) {}
-
-    /** How an exchange ended, as the client saw it. */
-    enum ClientOutcome {
-        SERVED,
-        REFUSED,
-        FAILED,
-        BROKEN,
-        GONE
-    }
-
     /** The content type of an answer that a backend gave. */
     String backendContentType();
 
--- a/node/src/main/java/fawnlb/messages/BrokerHandler.java
+++ b/node/src/main/java/fawnlb/messages/BrokerHandler.java
@@ -3,8 +3,8 @@
 import fawnlb.backend.OutboundRequest;
 import fawnlb.client.AffinityKeys;
 import fawnlb.client.ClientExchange;
+import fawnlb.client.FixedResponse;
 import fawnlb.client.InFlightRequestIds;
-import fawnlb.client.ResponseFormatter;
 import fawnlb.contract.Contract;
 import fawnlb.contract.Contracts;
 import fawnlb.decision.LoadBalancerSettings;
@@ -93,11 +93,8 @@
 
         void reject(int status, String text, long retryAfterNanos) {
             exchange.getResponseHeaders().put(REQUEST_ID, record.id());
-            ClientExchange.write(
-                    exchange,
-                    new ResponseFormatter.FixedResponse(
-                            status, "application/json", ErrorBody.json(record.dialect(), status, text)),
-                    retryAfterNanos);
+            new FixedResponse(status, "application/json", ErrorBody.json(record.dialect(), status, text))
+                    .send(exchange, retryAfterNanos);
             requestLog.write(record, "rejected", status, null, null, timers.now());
         }
     }
--- a/node/src/main/java/fawnlb/messages/BrokerResponseFormatter.java
+++ b/node/src/main/java/fawnlb/messages/BrokerResponseFormatter.java
@@ -1,12 +1,13 @@
 package fawnlb.messages;
 
 import fawnlb.backend.OutboundRequest;
+import fawnlb.client.ClientOutcome;
+import fawnlb.client.FixedResponse;
 import fawnlb.client.ResponseFormatter;
 import fawnlb.eventloop.Timers;
 import fawnlb.stream.AttemptEnd;
 import fawnlb.translation.ErrorBody;
 import io.undertow.util.StatusCodes;
-import java.util.Locale;
 import java.util.function.LongConsumer;
 
 /** The broker's words for one flow's answers, its record and its budget at the end. */
@@ -76,14 +77,8 @@
     public void onExchangeFinished(ClientOutcome end, int status, AttemptEnd cause) {
         // Nothing was made for a fixed response; a broken or left stream may have cost all that was booked.
         boolean rejected = responseSummary.status() != StatusCodes.OK;
-        boolean tokenless = rejected || end == ClientOutcome.REFUSED || end == ClientOutcome.FAILED;
+        boolean tokenless = rejected || end == ClientOutcome.REJECTED || end == ClientOutcome.FAILED;
         budgetSettlement.accept(tokenless ? 0 : responseSummary.tokens() > 0 ? responseSummary.tokens() : -1);
-        requestLog.write(
-                record,
-                rejected ? "rejected" : end.name().toLowerCase(Locale.ROOT),
-                status,
-                cause,
-                responseSummary,
-                timers.now());
+        requestLog.write(record, rejected ? "rejected" : end.label(), status, cause, responseSummary, timers.now());
     }
 }
--- a/node/src/main/java/fawnlb/platform/PlatformHandler.java
+++ b/node/src/main/java/fawnlb/platform/PlatformHandler.java
@@ -2,8 +2,8 @@
 
 import fawnlb.backend.OutboundRequest;
 import fawnlb.client.ClientExchange;
+import fawnlb.client.FixedResponse;
 import fawnlb.client.InFlightRequestIds;
-import fawnlb.client.ResponseFormatter;
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.http.RequestBodyReader;
@@ -135,6 +135,6 @@
     }
 
     private static void sendText(HttpServerExchange exchange, int status, String text) {
-        ClientExchange.write(exchange, new ResponseFormatter.FixedResponse(status, "text/plain", text + "\n"), 0);
+        new FixedResponse(status, "text/plain", text + "\n").send(exchange);
     }
 }
--- a/node/src/main/java/fawnlb/platform/PlatformResponseFormatter.java
+++ b/node/src/main/java/fawnlb/platform/PlatformResponseFormatter.java
@@ -1,6 +1,7 @@
 package fawnlb.platform;
 
 import fawnlb.backend.OutboundRequest;
+import fawnlb.client.FixedResponse;
 import fawnlb.client.ResponseFormatter;
 import fawnlb.stream.AttemptEnd;
 import io.undertow.util.StatusCodes;
--- a/node/src/main/java/fawnlb/server/Server.java
+++ b/node/src/main/java/fawnlb/server/Server.java
@@ -3,11 +3,10 @@
 import fawnlb.admin.AdminHandler;
 import fawnlb.backend.BackendPool;
 import fawnlb.client.ClientConnectionTracker;
-import fawnlb.client.ClientExchange;
+import fawnlb.client.FixedResponse;
 import fawnlb.client.InFlightRequestIds;
 import fawnlb.client.Listener;
 import fawnlb.client.ListenerGroup;
-import fawnlb.client.ResponseFormatter;
 import fawnlb.config.MessagesConfiguration;
 import fawnlb.config.ServerConfiguration;
 import fawnlb.config.StartupConfiguration;
@@ -100,7 +99,7 @@
     private static final int RESERVED_DESCRIPTORS = 48;
 
     private static final int MAX_ADMIN_CONNECTIONS = 4;
-    private static final ResponseFormatter.FixedResponse TOO_MANY_CONNECTIONS = new ResponseFormatter.FixedResponse(
+    private static final FixedResponse TOO_MANY_CONNECTIONS = new FixedResponse(
             StatusCodes.SERVICE_UNAVAILABLE, "text/plain", "no room for more connections; try again later\n");
 
     private final ServerConfiguration configuration;
@@ -319,14 +318,11 @@
             String fault = RequestHeadValidator.findFault(exchange);
             if (fault != null) {
                 exchange.setPersistent(false);
-                ClientExchange.write(
-                        exchange,
-                        new ResponseFormatter.FixedResponse(StatusCodes.BAD_REQUEST, "text/plain", fault + "\n"),
-                        0);
+                new FixedResponse(StatusCodes.BAD_REQUEST, "text/plain", fault + "\n").send(exchange);
             } else if (connections.onRequestStarted(exchange)) {
                 handler.handleRequest(exchange);
             } else {
-                ClientExchange.write(exchange, TOO_MANY_CONNECTIONS, NANOS_PER_SECOND);
+                TOO_MANY_CONNECTIONS.send(exchange, NANOS_PER_SECOND);
             }
         });
         Listener listener = startupRetry.run(
--- a/node/src/test/java/fawnlb/client/ClientConnectionTrackerTest.java
+++ b/node/src/test/java/fawnlb/client/ClientConnectionTrackerTest.java
@@ -360,7 +360,7 @@
     public void connectionLingersForRestOfRejectedRequest() throws Exception {
         requestReader.setRootHandler(exchange -> {
             tracker.onRequestStarted(exchange);
-            ClientExchange.write(exchange, new ResponseFormatter.FixedResponse(413, "text/plain", "too large\n"), 0);
+            new FixedResponse(413, "text/plain", "too large\n").send(exchange);
         });
         try (Socket client = connect()) {
             StreamConnection connection = accepted.poll(10, TimeUnit.SECONDS);
