--- a/node/src/main/java/fawnlb/http/RequestHeadValidator.java
+++ b/node/src/main/java/fawnlb/http/RequestHeadValidator.java
@@ -3,72 +3,106 @@
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.HeaderValues;
 import io.undertow.util.Headers;
+import io.undertow.util.StatusCodes;
 import java.io.IOException;
 
-/** What both sides ask of a message's head. Undertow reads a request's; it takes more than a careful reader should. */
+/**
+ * Checks request heads more strictly than Undertow, which parses them. A request that two parsers could understand
+ * differently is rejected, because a backend might see another request in it than the load balancer does.
+ */
 public final class RequestHeadValidator {
+    private static final char DELETE_CHARACTER = 0x7f;
+    /** The characters besides letters and digits that RFC 9110 doesn't allow in a token. */
+    private static final String DELIMITERS = "\"(),/:;<=>?@[\\]{}";
+
     private RequestHeadValidator() {}
 
-    /** What is wrong with a request's head, null if nothing is: then its length can be trusted. */
-    public static String findFault(HttpServerExchange exchange) {
+    /**
+     * Checks version, header names, header values and body framing. If it returns, the exchange's content length and
+     * transfer encoding can be trusted.
+     *
+     * @throws InvalidRequestException with status 400 if the head must not be accepted
+     */
+    public static void validate(HttpServerExchange exchange) throws InvalidRequestException {
         if (!exchange.isHttp11()) {
-            // HTTP/1.0 has no chunks: a stream that was cut off would look whole.
-            return "only HTTP/1.1 is spoken here";
+            // HTTP/1.0 has no chunks, so a truncated stream would look complete to the client.
+            throw badRequest(InvalidRequestException.HEAD, "only HTTP/1.1 is spoken here");
         }
         for (HeaderValues header : exchange.getRequestHeaders()) {
-            if (!isToken(header.getHeaderName().toString())) {
-                return "a header's name is not a token";
-            }
-            for (String value : header) {
-                if (value.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 0x7f)) {
-                    return "a header's value holds control characters";
-                }
-            }
+            validateHeader(header);
         }
-        return findFramingFault(
+        validateFraming(
                 exchange.getRequestHeaders().get(Headers.TRANSFER_ENCODING),
                 exchange.getRequestHeaders().get(Headers.CONTENT_LENGTH));
     }
 
     /**
-     * A header's one value, null if it is missing.
+     * Returns a header's only value, or null if the request doesn't have the header.
      *
-     * @throws IllegalArgumentException if it is given more than once: a backend might believe the other
+     * @throws InvalidRequestException with status 400 if the header is given more than once, since a backend might
+     *     choose another of its values
      */
-    public static String singleHeader(HttpServerExchange exchange, String name) {
+    public static String singleHeader(HttpServerExchange exchange, String name) throws InvalidRequestException {
         HeaderValues values = exchange.getRequestHeaders().get(name);
         if (values != null && values.size() > 1) {
-            throw new IllegalArgumentException(name + " is given more than once");
+            throw badRequest(name, name + " is given more than once");
         }
         return values == null ? null : values.getFirst();
     }
 
-    /** A request with both, or with two, may hide another in its body. */
-    private static String findFramingFault(HeaderValues transferEncoding, HeaderValues contentLength) {
+    private static void validateHeader(HeaderValues header) throws InvalidRequestException {
+        String name = header.getHeaderName().toString();
+        if (!isToken(name)) {
+            throw badRequest(InvalidRequestException.HEAD, "a header's name is not a token");
+        }
+        for (String value : header) {
+            if (value.chars().anyMatch(RequestHeadValidator::isForbiddenControl)) {
+                throw badRequest(name, "a header's value holds control characters");
+            }
+        }
+    }
+
+    private static boolean isForbiddenControl(int character) {
+        return character < ' ' && character != '\t' || character == DELETE_CHARACTER;
+    }
+
+    /** Rejects a request with two framing headers, which may hide another request in its body (request smuggling). */
+    private static void validateFraming(HeaderValues transferEncoding, HeaderValues contentLength)
+            throws InvalidRequestException {
         if (transferEncoding != null
                 && (contentLength != null
                         || transferEncoding.size() > 1
                         || !transferEncoding.getFirst().equalsIgnoreCase("chunked"))) {
-            return "Transfer-Encoding: only 'chunked' is read, and alone";
+            throw badRequest(Headers.TRANSFER_ENCODING_STRING, "Transfer-Encoding: only 'chunked' is read, and alone");
         }
-        if (contentLength == null) {
-            return null;
+        if (contentLength != null) {
+            validateContentLength(contentLength);
         }
+    }
+
+    private static void validateContentLength(HeaderValues contentLength) throws InvalidRequestException {
         try {
             BodyFraming.parseContentLength(contentLength.getFirst());
-            return contentLength.size() > 1 ? "more than one Content-Length" : null;
         } catch (IOException e) {
-            return "Content-Length: " + e.getMessage();
+            throw new InvalidRequestException(
+                    StatusCodes.BAD_REQUEST, Headers.CONTENT_LENGTH_STRING, "Content-Length: " + e.getMessage(), e);
+        }
+        if (contentLength.size() > 1) {
+            throw badRequest(Headers.CONTENT_LENGTH_STRING, "more than one Content-Length");
         }
     }
 
-    /** Whether the name is one that a header can have. */
+    private static InvalidRequestException badRequest(String field, String detail) {
+        return new InvalidRequestException(StatusCodes.BAD_REQUEST, field, detail);
+    }
+
+    /** Whether the name is a token as RFC 9110 defines it, and so can be the name of a header. */
     static boolean isToken(String name) {
         return !name.isEmpty()
-                && name.chars().allMatch(c -> c > ' ' && c < 0x7f && "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0);
+                && name.chars().allMatch(c -> c > ' ' && c < DELETE_CHARACTER && DELIMITERS.indexOf(c) < 0);
     }
 
-    /** Whether the header decides where the message ends. */
+    /** Whether the header, given in lower case, decides where the message ends. */
     static boolean isFramingHeader(String name) {
         return name.equals("content-length") || name.equals("transfer-encoding");
     }
--- /dev/null
+++ b/node/src/main/java/fawnlb/http/ResourceExhaustedException.java
@@ -0,0 +1,32 @@
+package fawnlb.http;
+
+/** A request that can't be accepted now because a resource of this process is used up. The client may retry it. */
+public final class ResourceExhaustedException extends Exception {
+    private static final long serialVersionUID = 1;
+
+    private final String resource;
+    private final int retryAfterSeconds;
+
+    /**
+     * Creates an exception.
+     *
+     * @param resource what is used up, such as the memory for request bodies
+     * @param retryAfterSeconds after how many seconds the client may retry
+     * @param detail the text that the client reads
+     */
+    ResourceExhaustedException(String resource, int retryAfterSeconds, String detail) {
+        super(detail);
+        this.resource = resource;
+        this.retryAfterSeconds = retryAfterSeconds;
+    }
+
+    /** What is used up. */
+    public String resource() {
+        return resource;
+    }
+
+    /** After how many seconds the client may retry. */
+    public int retryAfterSeconds() {
+        return retryAfterSeconds;
+    }
+}
--- a/node/src/main/java/fawnlb/messages/BrokerHandler.java
+++ b/node/src/main/java/fawnlb/messages/BrokerHandler.java
@@ -10,6 +10,7 @@
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
+import fawnlb.http.InvalidRequestException;
 import fawnlb.http.RequestBodyReader;
 import fawnlb.http.RequestHeadValidator;
 import fawnlb.proxy.IncomingRequest;
@@ -121,7 +122,9 @@
         try {
             completion = CompletionRequest.decode(dialect, body);
             request = incomingRequest(exchange, contract, completion, record, responseSummary, body);
-        } catch (CompletionRequest.InvalidCompletionRequestException | IllegalArgumentException e) {
+        } catch (CompletionRequest.InvalidCompletionRequestException
+                | InvalidRequestException
+                | IllegalArgumentException e) {
             rejection.reject(StatusCodes.BAD_REQUEST, e.getMessage(), 0);
             return;
         }
@@ -203,7 +206,8 @@
             CompletionRequest completion,
             RequestRecord record,
             OutboundRequest.ResponseSummary responseSummary,
-            byte[] body) {
+            byte[] body)
+            throws InvalidRequestException {
         String requestedClass = exchange.getRequestHeaders().getFirst("X-Class");
         String requestClass = requestedClass == null ? contract.classes().get(0) : requestedClass;
         record.setClassAndModel(requestClass, completion.model());
--- a/node/src/main/java/fawnlb/platform/PlatformHandler.java
+++ b/node/src/main/java/fawnlb/platform/PlatformHandler.java
@@ -6,6 +6,7 @@
 import fawnlb.client.InFlightRequestIds;
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.eventloop.Mailbox;
+import fawnlb.http.InvalidRequestException;
 import fawnlb.http.RequestBodyReader;
 import fawnlb.http.RequestHeadValidator;
 import fawnlb.proxy.IncomingRequest;
@@ -85,7 +86,8 @@
         try {
             id = requestId(exchange);
             if (body.length == 0) {
-                throw new IllegalArgumentException("the request has no body");
+                throw new InvalidRequestException(
+                        StatusCodes.BAD_REQUEST, InvalidRequestException.BODY, "the request has no body");
             }
             byte[] translated = translationRequired
                     ? CompletionRequest.decode(Dialect.CHAT, body).encode(Dialect.MESSAGES)
@@ -101,7 +103,7 @@
                             body,
                             translated,
                             responseSummary));
-        } catch (IllegalArgumentException | CompletionRequest.InvalidCompletionRequestException e) {
+        } catch (InvalidRequestException | CompletionRequest.InvalidCompletionRequestException e) {
             sendText(exchange, StatusCodes.BAD_REQUEST, e.getMessage());
             return;
         }
@@ -121,10 +123,13 @@
         }
     }
 
-    private static String requestId(HttpServerExchange exchange) {
+    private static String requestId(HttpServerExchange exchange) throws InvalidRequestException {
         String id = RequestHeadValidator.singleHeader(exchange, "X-Request-Id");
         if (id == null || !id.matches("[!-~]{1,128}")) {
-            throw new IllegalArgumentException("X-Request-Id: expected one, of up to 128 visible characters");
+            throw new InvalidRequestException(
+                    StatusCodes.BAD_REQUEST,
+                    "X-Request-Id",
+                    "X-Request-Id: expected one, of up to 128 visible characters");
         }
         return id;
     }
--- a/node/src/main/java/fawnlb/platform/RequestHeaderParser.java
+++ b/node/src/main/java/fawnlb/platform/RequestHeaderParser.java
@@ -2,61 +2,84 @@
 
 import fawnlb.client.AffinityKeys;
 import fawnlb.decision.LoadBalancerSettings;
+import fawnlb.http.InvalidRequestException;
 import fawnlb.proxy.IncomingRequest;
+import io.undertow.util.StatusCodes;
 import java.util.Map;
-import java.util.function.Function;
 
-/** Reads the headers of the platform's requests. */
+/** Parses the headers of the platform's requests into the facts that load balancing decisions need. */
 final class RequestHeaderParser {
+    private static final long NANOS_PER_MILLISECOND = 1_000_000;
+    /** One day: a larger value is a mistake, and far below an overflow in nanoseconds. */
+    private static final long MAX_NUMBER = 86_400_000;
+
     private final LoadBalancerSettings settings;
 
     RequestHeaderParser(LoadBalancerSettings settings) {
         this.settings = settings;
     }
 
-    /** The ask; the message of the exception tells the client what is wrong. */
-    IncomingRequest parse(Function<String, String> header, IncomingRequest.RequestPayload outboundRequest) {
-        int requestClass = settings.names().classes().indexOf(normalizeName(header.apply("X-Class")));
-        if (requestClass < 0) {
-            throw new IllegalArgumentException("X-Class names no class of this deployment");
-        }
-        String deadlineMillis = header.apply("X-Deadline-Ms");
-        long clientTimeoutNanos = deadlineMillis == null
-                ? settings.requestClasses().get(requestClass).deadlineNanos()
-                : 1_000_000 * parseMillis("X-Deadline-Ms", deadlineMillis);
-        Map<String, String> extras = ExtrasHeader.parse(header.apply("X-Extras"));
+    /**
+     * Parses the headers of one request.
+     *
+     * @param payload the request as it will go to a backend
+     * @throws InvalidRequestException if a header is invalid; its message tells the client what is wrong
+     */
+    IncomingRequest parse(HeaderLookup headers, IncomingRequest.RequestPayload payload) throws InvalidRequestException {
+        int requestClass = parseRequestClass(headers);
+        long clientTimeoutNanos = parseClientTimeoutNanos(headers, requestClass);
+        Map<String, String> extras = ExtrasHeader.parse(headers.find(ExtrasHeader.NAME));
         return new IncomingRequest(
                 requestClass,
-                settings.names().tenants().indexOf(normalizeName(header.apply("X-Tenant"))),
-                AffinityKeys.parse(header.apply("X-Key")),
+                settings.names().tenants().indexOf(normalizeName(headers.find("X-Tenant"))),
+                AffinityKeys.parse(headers.find("X-Key")),
                 AffinityKeys.parse(extras.get("prefix")),
                 clientTimeoutNanos,
-                tokenCount(extras, "prompt_len"),
-                tokenCount(extras, "prefix_len"),
-                tokenCount(extras, "max_out"),
-                header.apply("X-Retry") != null,
-                outboundRequest);
+                parseTokenCount(extras, "prompt_len"),
+                parseTokenCount(extras, "prefix_len"),
+                parseTokenCount(extras, "max_out"),
+                headers.find("X-Retry") != null,
+                payload);
+    }
+
+    private int parseRequestClass(HeaderLookup headers) throws InvalidRequestException {
+        int requestClass = settings.names().classes().indexOf(normalizeName(headers.find("X-Class")));
+        if (requestClass < 0) {
+            throw badRequest("X-Class", "X-Class names no class of this deployment");
+        }
+        return requestClass;
     }
 
-    /** A name in the settings has no spaces or commas. */
+    private long parseClientTimeoutNanos(HeaderLookup headers, int requestClass) throws InvalidRequestException {
+        String deadlineMillis = headers.find("X-Deadline-Ms");
+        return deadlineMillis == null
+                ? settings.requestClasses().get(requestClass).deadlineNanos()
+                : NANOS_PER_MILLISECOND * parseNumber("X-Deadline-Ms", deadlineMillis);
+    }
+
+    /** Names in the settings file have underscores in place of spaces and commas. */
     private static String normalizeName(String text) {
         return text == null ? "" : text.trim().replaceAll("[ ,]", "_");
     }
 
-    private static long parseMillis(String name, String text) {
+    private static double parseTokenCount(Map<String, String> extras, String name) throws InvalidRequestException {
+        String text = extras.get(name);
+        return text == null ? 0 : parseNumber(name, text);
+    }
+
+    private static long parseNumber(String name, String text) throws InvalidRequestException {
         try {
             long value = Long.parseLong(text.trim());
-            if (value >= 0 && value <= 86_400_000) {
+            if (value >= 0 && value <= MAX_NUMBER) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below, like one out of range.
+            // Reported below together with a number out of range.
         }
-        throw new IllegalArgumentException(name + " is not a whole number of milliseconds up to a day");
+        throw badRequest(name, name + " is not a whole number of milliseconds up to a day");
     }
 
-    private static double tokenCount(Map<String, String> extras, String name) {
-        String text = extras.get(name);
-        return text == null ? 0 : parseMillis(name, text);
+    private static InvalidRequestException badRequest(String field, String detail) {
+        return new InvalidRequestException(StatusCodes.BAD_REQUEST, field, detail);
     }
 }
--- a/node/src/main/java/fawnlb/server/Server.java
+++ b/node/src/main/java/fawnlb/server/Server.java
@@ -3,7 +3,7 @@
 import fawnlb.admin.AdminHandler;
 import fawnlb.backend.BackendPool;
 import fawnlb.client.ClientConnectionTracker;
-import fawnlb.client.FixedResponse;
+import fawnlb.client.ClientRequestHandler;
 import fawnlb.client.InFlightRequestIds;
 import fawnlb.client.Listener;
 import fawnlb.client.ListenerGroup;
@@ -21,7 +21,6 @@
 import fawnlb.filter.EndpointFilter;
 import fawnlb.filter.EndpointFilterChain;
 import fawnlb.http.RequestBodyReader;
-import fawnlb.http.RequestHeadValidator;
 import fawnlb.messages.BrokerHandler;
 import fawnlb.messages.RequestLog;
 import fawnlb.metrics.Metrics;
@@ -38,7 +37,6 @@
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.protocol.http.HttpOpenListener;
-import io.undertow.util.StatusCodes;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -99,8 +97,6 @@
     private static final int RESERVED_DESCRIPTORS = 48;
 
     private static final int MAX_ADMIN_CONNECTIONS = 4;
-    private static final FixedResponse TOO_MANY_CONNECTIONS = new FixedResponse(
-            StatusCodes.SERVICE_UNAVAILABLE, "text/plain", "no room for more connections; try again later\n");
 
     private final ServerConfiguration configuration;
     private final MessagesConfiguration messages;
@@ -314,17 +310,7 @@
                         .set(UndertowOptions.MAX_HEADER_SIZE, MAX_REQUEST_HEAD_BYTES)
                         .set(UndertowOptions.MAX_HEADERS, MAX_REQUEST_HEADERS)
                         .getMap());
-        httpListener.setRootHandler(exchange -> {
-            String fault = RequestHeadValidator.findFault(exchange);
-            if (fault != null) {
-                exchange.setPersistent(false);
-                new FixedResponse(StatusCodes.BAD_REQUEST, "text/plain", fault + "\n").send(exchange);
-            } else if (connections.onRequestStarted(exchange)) {
-                handler.handleRequest(exchange);
-            } else {
-                TOO_MANY_CONNECTIONS.send(exchange, NANOS_PER_SECOND);
-            }
-        });
+        httpListener.setRootHandler(new ClientRequestHandler(connections, handler));
         Listener listener = startupRetry.run(
                 address.toString(),
                 () -> new Listener(
