--- /dev/null
+++ b/node/src/main/java/fawnlb/discovery/EndpointListReceiver.java
@@ -0,0 +1,77 @@
+package fawnlb.discovery;
+
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.discovery.EndpointListFormatException.Reason;
+
+/**
+ * Decides what a list that has come in means for the list that is held, and hands it to the listener. It keeps the
+ * revision from which the next watch starts. It belongs to the I/O thread of the {@link DiscoveryClient}.
+ */
+final class EndpointListReceiver {
+    private final DiscoveryListener listener;
+    private long revision;
+
+    EndpointListReceiver(DiscoveryListener listener) {
+        this.listener = listener;
+    }
+
+    /** The revision of the list that is held; 0 asks discovery for the whole list. */
+    long revision() {
+        return revision;
+    }
+
+    /** Takes the list that the instance held when it last ran. */
+    void startFrom(EndpointList cachedList) {
+        revision = cachedList.revision();
+        listener.onDiscoveryUpdate(EndpointUpdateKind.CACHED, cachedList);
+    }
+
+    /**
+     * Takes a list from a watch. A whole list counts as it stands, since a service that has started anew, or another
+     * one, may count revisions from a lower number.
+     *
+     * @throws EndpointListFormatException if it is no list, or its changes are older than what is held; the next watch
+     *     then asks for the whole list
+     */
+    void acceptFromWatch(String json) throws EndpointListFormatException {
+        EndpointList list = EndpointListCodec.parse(json);
+        if (!list.complete() && list.revision() < revision) {
+            long heldRevision = revision;
+            revision = 0;
+            throw new EndpointListFormatException(
+                    Reason.STALE_REVISION, "revision " + list.revision() + " after " + heldRevision);
+        }
+        revision = list.revision();
+        deliver(list);
+    }
+
+    /**
+     * Takes a list that was fetched on a call of its own; a watch may have brought a newer one since.
+     *
+     * @throws EndpointListFormatException if it is no list
+     */
+    void acceptFromFetch(String json) throws EndpointListFormatException {
+        EndpointList list = EndpointListCodec.parse(json);
+        revision = Math.max(revision, list.revision());
+        deliver(list);
+    }
+
+    private void deliver(EndpointList list) {
+        listener.onDiscoveryUpdate(list.complete() ? EndpointUpdateKind.FULL : EndpointUpdateKind.DELTA, list);
+    }
+
+    /** Discovery has answered a watch, and nothing has changed since the revision that is held. */
+    void confirmUnchanged() {
+        listener.onDiscoveryUpdate(EndpointUpdateKind.DELTA, EndpointList.unchanged(revision));
+    }
+
+    /** An empty line on a watch that was answered before, or on a fetch. */
+    void heartbeat() {
+        listener.onHeartbeat();
+    }
+
+    /** A call has failed in this way, and the list that is held stands. */
+    void callFailed(EndpointUpdateKind kind) {
+        listener.onDiscoveryUpdate(kind, null);
+    }
+}
--- /dev/null
+++ b/node/src/main/java/fawnlb/discovery/WatchCall.java
@@ -0,0 +1,91 @@
+package fawnlb.discovery;
+
+import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.metrics.Metrics;
+import fawnlb.metrics.Metrics.Metric;
+import java.net.InetSocketAddress;
+
+/**
+ * Watches the changes of the list on a response that does not end. A watch whose heartbeat is missed is reported as a
+ * failed call, so that another is made; it stays open until then, since a false alarm costs nothing if the watch
+ * resumes before.
+ */
+final class WatchCall extends DiscoveryCall {
+    private boolean answered;
+    private boolean silent;
+
+    WatchCall(Context context, InetSocketAddress address) {
+        super(
+                context,
+                address,
+                "/registry/instances?watch=1&from=" + context.receiver().revision(),
+                "watch");
+    }
+
+    /** Whether it was neither answered nor has failed. */
+    boolean isAwaitingAnswer() {
+        return !isClosed() && !answered;
+    }
+
+    @Override
+    void onInput() {
+        armHeartbeatTimeout();
+        resumeIfSilent();
+    }
+
+    private void armHeartbeatTimeout() {
+        armTimeout(
+                DiscoveryTimeouts.HEARTBEAT_TIMEOUT_NANOS,
+                () -> armTimeout(DiscoveryTimeouts.UNREAD_INPUT_GRACE_NANOS, this::onHeartbeatMissed));
+    }
+
+    private void onHeartbeatMissed() {
+        if (!answered) {
+            fail("silent");
+        } else if (!isClosed() && !silent) {
+            silent = true;
+            context().failureLog().logFailure("watch silent");
+            context().receiver().callFailed(EndpointUpdateKind.FAILED);
+        }
+    }
+
+    /** Input came before another call was made, so no change was missed. */
+    private void resumeIfSilent() {
+        if (silent) {
+            silent = false;
+            logRecovery();
+            context().receiver().confirmUnchanged();
+        }
+    }
+
+    @Override
+    void onEvent(WatchEvent event) throws EndpointListFormatException {
+        if (event instanceof WatchEvent.JsonObject object) {
+            context().receiver().acceptFromWatch(object.json());
+            onAnswered();
+        } else if (answered) {
+            context().receiver().heartbeat();
+        } else {
+            // Nothing has changed since the revision that the watch started from: that is an answer too.
+            context().receiver().confirmUnchanged();
+            onAnswered();
+        }
+    }
+
+    private void onAnswered() {
+        if (!answered) {
+            answered = true;
+            Metrics.increment(Metric.DISCOVERY_CALLS, "answered");
+            logRecovery();
+        }
+    }
+
+    private void logRecovery() {
+        context().failureLog().logRecovery(context().receiver().revision());
+    }
+
+    @Override
+    void onResponseEnd() {
+        fail("ended");
+    }
+}
--- a/node/src/main/java/fawnlb/discovery/WatchEventReader.java
+++ b/node/src/main/java/fawnlb/discovery/WatchEventReader.java
@@ -1,20 +1,19 @@
 package fawnlb.discovery;
 
+import fawnlb.discovery.EndpointListFormatException.Reason;
 import java.io.ByteArrayOutputStream;
-import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * Finds the JSON objects and the blank lines between them in pieces of any size. An object may be on one line or
- * indented over many; a blank line, between two objects, is a heartbeat. Within an object a blank line says that the
- * rest of it was lost.
+ * Splits a response of discovery into its events, from chunks of any size. A JSON object may stand on one line or be
+ * indented over many. A blank line between two objects is a heartbeat; one within an object shows that the rest of the
+ * object was lost.
  */
 final class WatchEventReader {
-    /** What stands for a blank line among the objects. */
-    static final String HEARTBEAT = "";
+    private static final WatchEvent HEARTBEAT = new WatchEvent.Heartbeat();
 
     private final int maxObjectBytes;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
@@ -23,14 +22,20 @@
     private boolean escaped;
     private boolean lineIsBlank = true;
 
-    /** Objects longer than this are errors. */
+    /** Creates a reader that rejects objects of more bytes. */
     WatchEventReader(int maxObjectBytes) {
         this.maxObjectBytes = maxObjectBytes;
     }
 
-    /** The objects and heartbeats that end within these bytes, in their order. */
-    List<String> read(ByteBuffer bytes) throws IOException {
-        List<String> events = new ArrayList<>();
+    /**
+     * Takes the next chunk.
+     *
+     * @return the events that end within it, in their order
+     * @throws EndpointListFormatException if the chunk has anything but objects and blank lines, or an object that
+     *     breaks off or is too long; the reader is of no use then
+     */
+    List<WatchEvent> read(ByteBuffer bytes) throws EndpointListFormatException {
+        List<WatchEvent> events = new ArrayList<>();
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
             if (next == '\n') {
@@ -49,9 +54,9 @@
         return depth > 0;
     }
 
-    private void onLineEnd(List<String> events) throws IOException {
+    private void onLineEnd(List<WatchEvent> events) throws EndpointListFormatException {
         if (inString || depth > 0 && lineIsBlank) {
-            throw new IOException("an object that breaks off");
+            throw new EndpointListFormatException(Reason.TRUNCATED, "an object that breaks off");
         }
         if (depth == 0 && lineIsBlank) {
             events.add(HEARTBEAT);
@@ -59,12 +64,12 @@
         lineIsBlank = true;
     }
 
-    private void readBetweenObjects(byte next) throws IOException {
+    private void readBetweenObjects(byte next) throws EndpointListFormatException {
         if (isBlank(next)) {
             return;
         }
         if (next != '{') {
-            throw new IOException("expected an object");
+            throw new EndpointListFormatException(Reason.MALFORMED, "expected an object");
         }
         lineIsBlank = false;
         depth = 1;
@@ -72,9 +77,9 @@
         object.write(next);
     }
 
-    private void readWithinObject(byte next, List<String> events) throws IOException {
+    private void readWithinObject(byte next, List<WatchEvent> events) throws EndpointListFormatException {
         if (object.size() >= maxObjectBytes) {
-            throw new IOException("object longer than " + maxObjectBytes + " bytes");
+            throw new EndpointListFormatException(Reason.TOO_LARGE, "object longer than " + maxObjectBytes + " bytes");
         }
         object.write(next);
         lineIsBlank &= isBlank(next);
@@ -86,7 +91,7 @@
         } else if (next == '{' || next == '[') {
             depth++;
         } else if ((next == '}' || next == ']') && --depth == 0) {
-            events.add(object.toString(StandardCharsets.UTF_8));
+            events.add(new WatchEvent.JsonObject(object.toString(StandardCharsets.UTF_8)));
             object.reset();
         }
     }
--- a/node/src/main/java/fawnlb/server/EndpointPublisher.java
+++ b/node/src/main/java/fawnlb/server/EndpointPublisher.java
@@ -6,7 +6,7 @@
 import fawnlb.decision.LoadBalancerEvent;
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.discovery.DiscoveredEndpoint;
-import fawnlb.discovery.DiscoveryClient;
+import fawnlb.discovery.DiscoveryListener;
 import fawnlb.discovery.EndpointList;
 import fawnlb.discovery.EndpointStartTimes;
 import fawnlb.eventloop.Timers;
@@ -24,7 +24,7 @@
  * Hands on what discovery says: to the connections to backends, to the core, to the record on disk, and to the node's
  * readiness. It belongs to the I/O thread.
  */
-final class EndpointPublisher implements DiscoveryClient.Listener {
+final class EndpointPublisher implements DiscoveryListener {
     private final LoadBalancerSettings settings;
     private final Set<String> messagesApiKinds;
     private final BackendPool backends;
--- a/node/src/test/java/fawnlb/discovery/NotificationDeadlineTest.java
+++ b/node/src/test/java/fawnlb/discovery/NotificationDeadlineTest.java
@@ -37,11 +37,12 @@
     private record DetectionPath(String name, long detectionNanos) {}
 
     private static final List<DetectionPath> DETECTION_PATHS = List.of(
-            new DetectionPath("a watch that fell silent with the change", DiscoveryClient.WATCH_SILENCE_TIMEOUT_NANOS),
+            new DetectionPath(
+                    "a watch that fell silent with the change", DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS),
             new DetectionPath("a watch that was reset with the change", 0),
             new DetectionPath("a call that was refused just before", 0),
-            new DetectionPath("a call whose connection never came up", DiscoveryClient.CONNECT_TIMEOUT_NANOS),
-            new DetectionPath("a call that was never answered", DiscoveryClient.RESPONSE_TIMEOUT_NANOS));
+            new DetectionPath("a call whose connection never came up", DiscoveryTimeouts.CONNECT_TIMEOUT_NANOS),
+            new DetectionPath("a call that was never answered", DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS));
 
     /** One module, and the timers that it has set. */
     private static final class SimulatedInstance {
@@ -161,18 +162,18 @@
     private record FailureSequence(String name, long... detectionNanos) {}
 
     private static final List<FailureSequence> FAILURE_SEQUENCES = List.of(
-            new FailureSequence("silent, refused", DiscoveryClient.WATCH_SILENCE_TIMEOUT_NANOS, 0),
-            new FailureSequence("silent, refused, refused", DiscoveryClient.WATCH_SILENCE_TIMEOUT_NANOS, 0, 0),
+            new FailureSequence("silent, refused", DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS, 0),
+            new FailureSequence("silent, refused, refused", DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS, 0, 0),
             new FailureSequence("reset, refused, refused", 0, 0, 0),
             new FailureSequence("refused, refused, refused", 0, 0, 0),
-            new FailureSequence("no connection, refused, refused", DiscoveryClient.CONNECT_TIMEOUT_NANOS, 0, 0),
-            new FailureSequence("refused, no connection, refused", 0, DiscoveryClient.CONNECT_TIMEOUT_NANOS, 0),
+            new FailureSequence("no connection, refused, refused", DiscoveryTimeouts.CONNECT_TIMEOUT_NANOS, 0, 0),
+            new FailureSequence("refused, no connection, refused", 0, DiscoveryTimeouts.CONNECT_TIMEOUT_NANOS, 0),
             new FailureSequence(
                     "no answer, no answer",
-                    DiscoveryClient.RESPONSE_TIMEOUT_NANOS,
-                    DiscoveryClient.RESPONSE_TIMEOUT_NANOS),
-            new FailureSequence("no answer, refused", DiscoveryClient.RESPONSE_TIMEOUT_NANOS, 0),
-            new FailureSequence("refused, no answer", 0, DiscoveryClient.RESPONSE_TIMEOUT_NANOS));
+                    DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS,
+                    DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS),
+            new FailureSequence("no answer, refused", DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS, 0),
+            new FailureSequence("refused, no answer", 0, DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS));
 
     @Test
     public void changeIsKnownBeforeTheDeadlineAfterConsecutiveFailures() {
@@ -187,7 +188,7 @@
                         for (long detectionNanos : sequence.detectionNanos()) {
                             instance.now += detectionNanos;
                             instance.receive(
-                                    detectionNanos == DiscoveryClient.RESPONSE_TIMEOUT_NANOS
+                                    detectionNanos == DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS
                                             ? EndpointUpdateKind.TIMED_OUT
                                             : EndpointUpdateKind.FAILED);
                             instance.runUntilNextCall();
--- a/node/src/test/java/fawnlb/discovery/WatchHeartbeatTest.java
+++ b/node/src/test/java/fawnlb/discovery/WatchHeartbeatTest.java
@@ -116,7 +116,7 @@
 
     @Test
     public void missedHeartbeatIsReportedAsFailedCall() throws Exception {
-        advanceTime(DiscoveryClient.WATCH_SILENCE_TIMEOUT_NANOS - 1);
+        advanceTime(DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS - 1);
         assertTrue(receivedUpdates.isEmpty());
         advanceTime(1);
         assertEquals(EndpointUpdateKind.FAILED, receivedUpdates.poll());
@@ -124,20 +124,20 @@
 
     @Test
     public void silentWatchResumesWhenItSendsBeforeTheNextCall() throws Exception {
-        advanceTime(DiscoveryClient.WATCH_SILENCE_TIMEOUT_NANOS);
+        advanceTime(DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS);
         assertEquals(EndpointUpdateKind.FAILED, receivedUpdates.poll());
         writeChunk("\n");
         assertEquals("nothing was missed", EndpointUpdateKind.DELTA, receivedUpdates.poll(10, TimeUnit.SECONDS));
         writeChunk(FULL_LIST_LINE);
         assertEquals(EndpointUpdateKind.FULL, receivedUpdates.poll(10, TimeUnit.SECONDS));
-        advanceTime(DiscoveryClient.WATCH_SILENCE_TIMEOUT_NANOS);
+        advanceTime(DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS);
         assertEquals("it is watched as before", EndpointUpdateKind.FAILED, receivedUpdates.poll());
     }
 
     /** SIGHUP while the next call is due soon: the call that goes to the new address keeps its turn there. */
     @Test
     public void watchOpenedByAddressChangeIsNotReplacedWhileAwaitingItsAnswer() throws Exception {
-        advanceTime(DiscoveryClient.WATCH_SILENCE_TIMEOUT_NANOS);
+        advanceTime(DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS);
         assertEquals(EndpointUpdateKind.FAILED, receivedUpdates.poll());
         try (ServerSocket next = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
             next.setSoTimeout(10_000);
@@ -153,7 +153,7 @@
 
     @Test
     public void nextCallReplacesSilentWatch() throws Exception {
-        advanceTime(DiscoveryClient.WATCH_SILENCE_TIMEOUT_NANOS);
+        advanceTime(DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS);
         runOnIoThread(client::watchEndpoints);
         try (Socket next = server.accept()) {
             watchSocket.setSoTimeout(10_000);
