--- a/node/src/main/java/fawnlb/config/StartupConfiguration.java
+++ b/node/src/main/java/fawnlb/config/StartupConfiguration.java
@@ -1,7 +1,7 @@
 package fawnlb.config;
 
 import fawnlb.decision.LoadBalancerSettings;
-import fawnlb.restore.RestoredEndpointFilter;
+import fawnlb.restore.RestoreSettings;
 import fawnlb.snapshot.SnapshotRecorder;
 import java.nio.file.Path;
 
@@ -15,7 +15,7 @@
         SnapshotRecorder.WriteIntervals snapshotPacing,
         long maxSnapshotAgeNanos,
         boolean isListTrusted,
-        RestoredEndpointFilter.RestoreSettings restoreRules) {
+        RestoreSettings restoreRules) {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long MILLIS_PER_DAY = 86_400_000;
 
@@ -48,7 +48,7 @@
         long maxSnapshotAgeNanos =
                 settings.readNumber("snapshot.oldest-ms", 7 * MILLIS_PER_DAY, 1, 3650 * MILLIS_PER_DAY)
                         * NANOS_PER_MILLI;
-        RestoredEndpointFilter.RestoreSettings rules = restoreRulesOfMillis(
+        RestoreSettings rules = restoreRulesOfMillis(
                 loadBalancerSettings,
                 settings.readNumber("probation.half-life-ms", 3_600_000, 1, 3650 * MILLIS_PER_DAY),
                 (int) settings.readNumber("probation.proofs", 3, 1, 1000),
@@ -75,7 +75,7 @@
                 rules);
     }
 
-    private static RestoredEndpointFilter.RestoreSettings restoreRulesOfMillis(
+    private static RestoreSettings restoreRulesOfMillis(
             LoadBalancerSettings loadBalancerSettings,
             long halfLifeMillis,
             int requiredSuccesses,
@@ -85,7 +85,7 @@
             long ejectionMillis,
             long maxEjectionMillis,
             long emptyListHoldMillis) {
-        return new RestoredEndpointFilter.RestoreSettings(
+        return new RestoreSettings(
                 halfLifeMillis * NANOS_PER_MILLI,
                 requiredSuccesses,
                 settleMillis * NANOS_PER_MILLI,
--- a/node/src/main/java/fawnlb/restore/RestoredEndpointFilter.java
+++ b/node/src/main/java/fawnlb/restore/RestoredEndpointFilter.java
@@ -1,6 +1,5 @@
 package fawnlb.restore;
 
-import fawnlb.decision.AttemptOutcome;
 import fawnlb.decision.Endpoint;
 import fawnlb.decision.EndpointPhase;
 import fawnlb.decision.EndpointUpdateKind;
@@ -10,124 +9,57 @@
 import fawnlb.decision.LoadBalancerEvent.ResponseStarted;
 import fawnlb.filter.EndpointFilter;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
 /**
- * How far a remembered list is believed until discovery is heard again. Every backend of it counts as cold until it has
- * answered: it may hold a few requests of this node that wait for their first token and no more, and sends to it are so
- * paced by its own answers. Requests that run count for nothing, since they are no new work.
+ * Limits what is sent to restored endpoints until discovery has answered. Each counts as cold until it has responded: a
+ * few requests of this instance may wait there for their first token and no more, so that its own responses pace what
+ * is sent to it. Requests whose response has started do not count, since they are no new work. What discovery says
+ * replaces all of it at once.
  *
- * <pre>
- *   REMEMBERED --its turn--> PROVING --answers, and time to warm up--> PROVEN
- *                              |  ^                                      |
- *                      failure |  | wait over                            | refuses connects: it may come back cold
- *                              v  |                                      |
- *                             DOUBTED <----------------------------------+
- *   any --named by discovery, or left out--> gone from here
- * </pre>
- *
- * <p>The weight of a memory halves with each half-life of its age. The sum of the weights is how many backends are
- * expected to be there still, and so many may be tried at once, the latest heard of first. What discovery says wins at
- * once.
+ * <p>{@link RestoredEndpointState} has the states of an endpoint, and {@link TrialAdmission} decides which are tried.
  */
 public final class RestoredEndpointFilter implements EndpointFilter {
-    /** A backend on probation. */
-    public enum RestoredEndpointState {
-        RESTORED,
-        HALF_OPEN,
-        HEALTHY,
-        EJECTED
-    }
-
     /**
-     * How long a node waits for its first answer of a discovery that refuses its calls since it has too many, in
+     * How long an instance waits for a discovery that rejects its calls because it has too many of them, in
      * nanoseconds.
      */
     public static final long MAX_THROTTLED_WAIT_NANOS = 4_000_000_000L;
-    /** The weight of a memory whose age is not known. */
-    private static final double UNKNOWN_AGE_WEIGHT = 0.5;
-    /** A memory of at least this weight is let try its whole part at once. */
-    private static final double FRESH_WEIGHT = 0.9;
+
+    private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
     private final RestoreSettings settings;
     private final long seed;
-    private final Map<Long, Long> lastContactAt;
+    private final ContactAgeWeights weights;
     private final Consumer<String> log;
+    private final TrialAdmission admission;
+    private final EmptyListHold emptyListHold;
     private final Map<Long, RestoredEndpoint> restoredEndpoints = new LinkedHashMap<>();
     private boolean discoveryAnswered;
-    private double expectedEndpoints;
-    private EndpointsUpdated heldEmptyUpdate;
-    private long emptyListHeldUntil = NEVER;
-    /**
-     * Discovery has been asked and has neither answered nor failed. Until then no remembered backend is tried: the
-     * address of one may belong to another by now, and a node may send only to what its list has named.
-     */
-    private boolean awaitingDiscovery;
-
-    private long awaitingSince;
-    private long admitTrialsAt = NEVER;
-
-    /**
-     * Times in nanoseconds. {@code halfLifeNanos}: after which a memory weighs half; {@code requiredResponses}: answers
-     * that prove a backend; {@code warmUpNanos}: from the first answer until it may count as warm;
-     * {@code fleetPendingLimit}: requests that may await their first token at one unproven backend, from all nodes
-     * together; {@code instanceCount}: how many nodes; {@code minConcurrentTrials}: backends that may be tried at once
-     * at least; {@code baseEjectionNanos}, {@code maxEjectionNanos}: how long a backend is left alone after a failure,
-     * doubled with each up to the longest; {@code emptyListHoldNanos}: how long an empty list is not believed while
-     * backends are held, 0 to believe it at once.
-     */
-    public record RestoreSettings(
-            long halfLifeNanos,
-            int requiredResponses,
-            long warmUpNanos,
-            int fleetPendingLimit,
-            int instanceCount,
-            int minConcurrentTrials,
-            long baseEjectionNanos,
-            long maxEjectionNanos,
-            long emptyListHoldNanos) {
-        /** This node's part of what all nodes may have waiting at an unproven backend. */
-        int instancePendingLimit() {
-            return Math.max(1, fleetPendingLimit / Math.max(1, instanceCount));
-        }
-    }
-
-    private static final class RestoredEndpoint {
-        final double weight;
-        final long tieBreaker;
-        Endpoint endpoint;
-        RestoredEndpointState state = RestoredEndpointState.RESTORED;
-        int responses;
-        int consecutiveFailures;
-        long firstResponseAt;
-        long ejectedUntil;
-        int publishedLimit;
-
-        RestoredEndpoint(Endpoint endpoint, double weight, long tieBreaker) {
-            this.endpoint = endpoint;
-            this.weight = weight;
-            this.tieBreaker = tieBreaker;
-        }
-    }
 
     /**
-     * Heard: when each backend was last listed or answered, in nanoseconds on the host's clock; 0 or absent if unknown.
+     * Creates a filter that has restored nothing yet; the endpoints come as the list of the kind CACHED.
+     *
+     * @param seed decides which of equally likely endpoints are tried first, so that instances differ
+     * @param lastContactAt when each endpoint was last listed or has last responded, in nanoseconds on the instance's
+     *     clock; 0 or absent if unknown
+     * @param log takes a line for the log
      */
     public RestoredEndpointFilter(
             RestoreSettings settings, long seed, Map<Long, Long> lastContactAt, Consumer<String> log) {
         this.settings = settings;
         this.seed = seed;
-        this.lastContactAt = Map.copyOf(lastContactAt);
+        this.weights = new ContactAgeWeights(settings.halfLifeNanos(), lastContactAt);
         this.log = log;
+        this.admission = new TrialAdmission(settings.minConcurrentTrials());
+        this.emptyListHold = new EmptyListHold(settings.emptyListHoldNanos());
     }
 
-    // ---- What discovery says --------------------------------------------------------------------------
-
     @Override
     public EndpointsUpdated onEndpointsUpdated(long now, EndpointsUpdated update) {
         return switch (update.kind()) {
@@ -135,14 +67,11 @@
             case FULL -> onFullList(now, update);
             case DELTA -> onChanges(update);
             case FAILED, TIMED_OUT -> {
-                admitTrialsAt = awaitingDiscovery ? now : admitTrialsAt;
-                awaitingDiscovery = false;
+                admission.onDiscoveryFailed(now);
                 yield update;
             }
             case THROTTLED -> {
-                // Discovery may well be up, and answer the next call: what it would say holds for this node by then.
-                admitTrialsAt =
-                        awaitingDiscovery ? Math.max(now, awaitingSince + MAX_THROTTLED_WAIT_NANOS) : admitTrialsAt;
+                admission.onDiscoveryThrottled(now);
                 yield update;
             }
             case FILTERED -> update;
@@ -156,68 +85,97 @@
         restoredEndpoints.clear();
         for (Endpoint endpoint : update.endpoints()) {
             if (endpoint.phase() == EndpointPhase.READY) {
-                restoredEndpoints.put(
-                        endpoint.id(),
-                        new RestoredEndpoint(endpoint, weight(now, endpoint.id()), mixBits(endpoint.id() ^ seed)));
+                restoredEndpoints.put(endpoint.id(), restore(now, endpoint));
             }
         }
-        awaitingDiscovery = true;
-        awaitingSince = now;
-        expectedEndpoints = restoredEndpoints.values().stream()
-                .mapToDouble(restored -> restored.weight)
-                .sum();
-        admitTrials(now);
+        admission.start(now, restoredEndpoints.values());
+        admission.admit(now, restoredEndpoints.values());
         if (!restoredEndpoints.isEmpty()) {
             log.accept("starting from " + restoredEndpoints.size() + " remembered targets, about "
-                    + Math.round(expectedEndpoints) + " of them expected to be there");
+                    + Math.round(admission.expectedEndpoints()) + " of them expected to be there");
         }
-        return limitRestored(update, update.kind());
+        return limitRestored(update);
+    }
+
+    private RestoredEndpoint restore(long now, Endpoint endpoint) {
+        return new RestoredEndpoint(
+                endpoint, weights.weight(now, endpoint.id()), mixBits(endpoint.id() ^ seed), settings);
+    }
+
+    private EndpointsUpdated limitRestored(EndpointsUpdated update) {
+        List<Endpoint> endpoints = update.endpoints().stream()
+                .map(endpoint -> restoredEndpoints.containsKey(endpoint.id())
+                        ? restoredEndpoints.get(endpoint.id()).publish()
+                        : endpoint)
+                .toList();
+        return new EndpointsUpdated(update.kind(), update.version(), endpoints);
     }
 
     private EndpointsUpdated onFullList(long now, EndpointsUpdated update) {
-        boolean isEmpty = update.endpoints().stream().allMatch(endpoint -> endpoint.phase() == EndpointPhase.GONE);
-        if (isEmpty
-                && settings.emptyListHoldNanos() > 0
-                && (emptyListHeldUntil != NEVER || !discoveryAnswered && !restoredEndpoints.isEmpty())) {
-            if (emptyListHeldUntil == NEVER) {
-                emptyListHeldUntil = now + settings.emptyListHoldNanos();
+        if (namesNobody(update) && mayHoldEmptyList()) {
+            if (!emptyListHold.isActive()) {
                 log.accept("discovery lists no target; the remembered ones stay for "
-                        + settings.emptyListHoldNanos() / 1_000_000 + " ms");
+                        + emptyListHold.holdNanos() / NANOS_PER_MILLISECOND + " ms");
             }
-            heldEmptyUpdate = update;
-            // The call has worked, and nothing has changed yet.
+            emptyListHold.hold(now, update);
+            // The call has succeeded, and nothing has changed yet.
             return new EndpointsUpdated(EndpointUpdateKind.DELTA, update.version(), List.of());
         }
-        acceptDiscovery("discovery is back with " + update.endpoints().size() + " targets");
+        releaseAll("discovery is back with " + update.endpoints().size() + " targets");
         return update;
     }
 
-    /** Discovery answers from where this node stood, so all that it does not mention is as it was. */
+    private boolean mayHoldEmptyList() {
+        return emptyListHold.isEnabled()
+                && (emptyListHold.isActive() || !discoveryAnswered && !restoredEndpoints.isEmpty());
+    }
+
+    private static boolean namesNobody(EndpointsUpdated update) {
+        return update.endpoints().stream().allMatch(endpoint -> endpoint.phase() == EndpointPhase.GONE);
+    }
+
+    /** Discovery answers from the revision that this instance held: what it does not name is as it was. */
     private EndpointsUpdated onChanges(EndpointsUpdated update) {
-        if (emptyListHeldUntil != NEVER
-                && update.endpoints().stream().allMatch(endpoint -> endpoint.phase() == EndpointPhase.GONE)) {
+        if (emptyListHold.isActive() && namesNobody(update)) {
             return update;
         }
-        List<Endpoint> endpoints = new ArrayList<>(update.endpoints());
-        if (emptyListHeldUntil == NEVER) {
-            var namedIds = update.endpoints().stream().map(Endpoint::id).collect(Collectors.toSet());
-            restoredEndpoints.values().stream()
-                    .map(restored -> restored.endpoint)
-                    .filter(r -> !namedIds.contains(r.id()))
-                    .forEach(endpoints::add);
-        } else {
-            // The whole list was empty: what it left out is gone, now that there is another to go to.
-            restoredEndpoints.values().stream()
-                    .map(restored -> restored.endpoint.asGone())
-                    .forEach(endpoints::add);
-            endpoints.removeIf(r -> r.phase() == EndpointPhase.GONE
-                    && update.endpoints().stream().anyMatch(n -> n.id() == r.id() && n.phase() != EndpointPhase.GONE));
-        }
-        acceptDiscovery("discovery is back");
+        List<Endpoint> endpoints =
+                emptyListHold.isActive() ? withoutUnnamedEndpoints(update) : withUnnamedEndpoints(update);
+        releaseAll("discovery is back");
         return new EndpointsUpdated(update.kind(), update.version(), endpoints);
     }
 
-    private void acceptDiscovery(String reason) {
+    /** Adds the restored endpoints that are not named, without their limits. */
+    private List<Endpoint> withUnnamedEndpoints(EndpointsUpdated update) {
+        Set<Long> namedIds = update.endpoints().stream().map(Endpoint::id).collect(Collectors.toSet());
+        List<Endpoint> endpoints = new ArrayList<>(update.endpoints());
+        restoredEndpoints.values().stream()
+                .map(RestoredEndpoint::endpoint)
+                .filter(endpoint -> !namedIds.contains(endpoint.id()))
+                .forEach(endpoints::add);
+        return endpoints;
+    }
+
+    /** The list that is held was empty: now that there is another endpoint, all that it left out are gone. */
+    private List<Endpoint> withoutUnnamedEndpoints(EndpointsUpdated update) {
+        Set<Long> presentIds = update.endpoints().stream()
+                .filter(endpoint -> endpoint.phase() != EndpointPhase.GONE)
+                .map(Endpoint::id)
+                .collect(Collectors.toSet());
+        List<Endpoint> endpoints = new ArrayList<>(update.endpoints());
+        endpoints.addAll(restoredAsGone());
+        endpoints.removeIf(endpoint -> endpoint.phase() == EndpointPhase.GONE && presentIds.contains(endpoint.id()));
+        return endpoints;
+    }
+
+    private List<Endpoint> restoredAsGone() {
+        return restoredEndpoints.values().stream()
+                .map(restored -> restored.endpoint().asGone())
+                .toList();
+    }
+
+    /** From here on discovery alone says what is there. */
+    private void releaseAll(String reason) {
         if (!discoveryAnswered && !restoredEndpoints.isEmpty()) {
             log.accept(reason + "; of the remembered " + restoredEndpoints.size() + ", "
                     + count(RestoredEndpointState.HEALTHY) + " had proved themselves, "
@@ -225,183 +183,89 @@
         }
         discoveryAnswered = true;
         restoredEndpoints.clear();
-        heldEmptyUpdate = null;
-        emptyListHeldUntil = NEVER;
+        emptyListHold.release();
     }
 
-    // ---- What the backends do --------------------------------------------------------------------------
-
     @Override
     public EndpointsUpdated onEvent(long now, LoadBalancerEvent event) {
         if (restoredEndpoints.isEmpty()) {
             return null;
         }
-        if (event instanceof ResponseStarted e) {
-            onResponse(now, restoredEndpoints.get(e.endpointId()));
-        } else if (event instanceof AttemptEnded e) {
-            onAttemptEnded(now, restoredEndpoints.get(e.endpointId()), e.outcome());
+        if (event instanceof ResponseStarted started) {
+            onResponse(now, started);
+        } else if (event instanceof AttemptEnded ended) {
+            onAttemptEnded(now, ended);
         } else {
             return null;
         }
         return advance(now);
     }
 
-    private void onResponse(long now, RestoredEndpoint restored) {
-        if (restored == null || restored.state == RestoredEndpointState.HEALTHY) {
-            return;
+    private void onResponse(long now, ResponseStarted started) {
+        RestoredEndpoint restored = restoredEndpoints.get(started.endpointId());
+        if (restored != null) {
+            restored.onResponse(now);
         }
-        // An answer ends a doubt too: it may be the one to a request that was out when the doubt began.
-        restored.state = RestoredEndpointState.HALF_OPEN;
-        restored.consecutiveFailures = 0;
-        restored.firstResponseAt = restored.responses == 0 ? now : restored.firstResponseAt;
-        restored.responses++;
     }
 
-    private void onAttemptEnded(long now, RestoredEndpoint restored, AttemptOutcome outcome) {
-        if (restored == null) {
-            return;
-        }
-        boolean countsAsFailure = switch (outcome) {
-            case CONNECT_FAILED -> true;
-            // A proven backend's health is the module's business; only one that went away may come back cold.
-            case ERROR, RESET, TIMEOUT, FULL, STALLED -> restored.state != RestoredEndpointState.HEALTHY;
-            case SERVED, CANCELLED, NEVER_SENT -> false;
-        };
-        if (countsAsFailure && restored.state != RestoredEndpointState.EJECTED) {
-            restored.state = RestoredEndpointState.EJECTED;
-            restored.ejectedUntil = now
-                    + Math.min(
-                            settings.maxEjectionNanos(),
-                            settings.baseEjectionNanos() << Math.min(restored.consecutiveFailures, 20));
-            restored.consecutiveFailures++;
-            restored.responses = 0;
+    private void onAttemptEnded(long now, AttemptEnded ended) {
+        RestoredEndpoint restored = restoredEndpoints.get(ended.endpointId());
+        if (restored != null) {
+            restored.onAttemptEnded(now, ended.outcome());
         }
     }
 
     @Override
     public long nextWakeupAt() {
-        long wakeupAt = restoredEndpoints.isEmpty() ? emptyListHeldUntil : Math.min(emptyListHeldUntil, admitTrialsAt);
+        long wakeupAt = emptyListHold.heldUntil();
+        if (!restoredEndpoints.isEmpty()) {
+            wakeupAt = Math.min(wakeupAt, admission.nextAdmissionAt());
+        }
         for (RestoredEndpoint restored : restoredEndpoints.values()) {
-            if (restored.state == RestoredEndpointState.EJECTED) {
-                wakeupAt = Math.min(wakeupAt, restored.ejectedUntil);
-            } else if (restored.state == RestoredEndpointState.HALF_OPEN
-                    && restored.responses >= settings.requiredResponses()) {
-                wakeupAt = Math.min(wakeupAt, restored.firstResponseAt + settings.warmUpNanos());
-            }
+            wakeupAt = Math.min(wakeupAt, restored.nextTransitionAt());
         }
         return wakeupAt;
     }
 
     @Override
     public EndpointsUpdated onWakeup(long now) {
-        if (now >= emptyListHeldUntil) {
-            List<Endpoint> removed = restoredEndpoints.values().stream()
-                    .map(restored -> restored.endpoint.asGone())
-                    .toList();
-            EndpointsUpdated update =
-                    new EndpointsUpdated(EndpointUpdateKind.FILTERED, heldEmptyUpdate.version(), removed);
-            acceptDiscovery("discovery still lists no target");
-            return update;
+        if (now < emptyListHold.heldUntil()) {
+            return advance(now);
         }
-        return advance(now);
+        EndpointsUpdated update =
+                new EndpointsUpdated(EndpointUpdateKind.FILTERED, emptyListHold.heldVersion(), restoredAsGone());
+        releaseAll("discovery still lists no target");
+        return update;
     }
 
-    /** Moves on what the time and the answers allow, and shows what has changed by it. */
+    /** Makes the transitions that are due, starts trials, and shows the limits that have changed by it. */
     private EndpointsUpdated advance(long now) {
-        for (RestoredEndpoint restored : restoredEndpoints.values()) {
-            if (restored.state == RestoredEndpointState.EJECTED && now >= restored.ejectedUntil) {
-                restored.state = RestoredEndpointState.HALF_OPEN;
-            } else if (restored.state == RestoredEndpointState.HALF_OPEN
-                    && restored.responses >= settings.requiredResponses()
-                    && now - restored.firstResponseAt >= settings.warmUpNanos()) {
-                restored.state = RestoredEndpointState.HEALTHY;
-            }
-        }
-        admitTrials(now);
-        List<Endpoint> changed = new ArrayList<>();
-        for (RestoredEndpoint restored : restoredEndpoints.values()) {
-            if (restored.publishedLimit != pendingLimit(restored)) {
-                changed.add(publish(restored));
-            }
-        }
+        restoredEndpoints.values().forEach(restored -> restored.advance(now));
+        admission.admit(now, restoredEndpoints.values());
+        List<Endpoint> changed = restoredEndpoints.values().stream()
+                .filter(RestoredEndpoint::hasUnpublishedLimit)
+                .map(RestoredEndpoint::publish)
+                .toList();
         return changed.isEmpty() ? null : new EndpointsUpdated(EndpointUpdateKind.FILTERED, 0, changed);
     }
 
-    /** Lets backends be tried, the likeliest first, while fewer are being tried without an answer than may be. */
-    private void admitTrials(long now) {
-        awaitingDiscovery &= now < admitTrialsAt;
-        if (awaitingDiscovery) {
-            return;
-        }
-        admitTrialsAt = NEVER;
-        int maxTrials = Math.max(settings.minConcurrentTrials(), (int) Math.round(expectedEndpoints));
-        long runningTrials = restoredEndpoints.values().stream()
-                .filter(restored -> restored.state == RestoredEndpointState.HALF_OPEN && restored.responses == 0)
-                .count();
-        restoredEndpoints.values().stream()
-                .filter(restored -> restored.state == RestoredEndpointState.RESTORED)
-                .sorted(Comparator.comparingDouble((RestoredEndpoint restored) -> -restored.weight)
-                        .thenComparingLong(restored -> restored.tieBreaker))
-                .limit(Math.max(0, maxTrials - runningTrials))
-                .toList()
-                .forEach(restored -> restored.state = RestoredEndpointState.HALF_OPEN);
-    }
-
-    // ---- What the next step sees ----------------------------------------------------------------------
-
-    private EndpointsUpdated limitRestored(EndpointsUpdated update, EndpointUpdateKind kind) {
-        return new EndpointsUpdated(
-                kind,
-                update.version(),
-                update.endpoints().stream()
-                        .map(endpoint -> restoredEndpoints.containsKey(endpoint.id())
-                                ? publish(restoredEndpoints.get(endpoint.id()))
-                                : endpoint)
-                        .toList());
-    }
-
-    private Endpoint publish(RestoredEndpoint restored) {
-        restored.publishedLimit = pendingLimit(restored);
-        return restored.endpoint.withCapacity(restored.publishedLimit);
-    }
-
-    /** How many of this node's requests may await their first token at the backend. */
-    private int pendingLimit(RestoredEndpoint restored) {
-        return switch (restored.state) {
-            case RESTORED, EJECTED -> 0;
-            case HALF_OPEN ->
-                restored.weight >= FRESH_WEIGHT && restored.consecutiveFailures == 0
-                        ? settings.instancePendingLimit()
-                        : Math.min(settings.instancePendingLimit(), 1 + restored.responses);
-            case HEALTHY -> Endpoint.UNLIMITED_CAPACITY;
-        };
-    }
-
-    /** The weight of a memory: two to the power of minus its age in half-lives. A time to come tells no age. */
-    double weight(long now, long endpointId) {
-        long contactAt = lastContactAt.getOrDefault(endpointId, 0L);
-        return contactAt <= 0 || contactAt > now
-                ? UNKNOWN_AGE_WEIGHT
-                : Math.pow(2, -(now - contactAt) / (double) settings.halfLifeNanos());
-    }
-
-    /** Backends in this state. */
+    /** How many restored endpoints are in this state. */
     public long count(RestoredEndpointState state) {
         return restoredEndpoints.values().stream()
-                .filter(restored -> restored.state == state)
+                .filter(restored -> restored.state() == state)
                 .count();
     }
 
-    /** Where a backend stands, null if it is not on probation. */
+    /** The state of an endpoint; null if it was not restored, or discovery has answered. */
     public RestoredEndpointState stateOf(long endpointId) {
         RestoredEndpoint restored = restoredEndpoints.get(endpointId);
-        return restored == null ? null : restored.state;
+        return restored == null ? null : restored.state();
     }
 
-    /** The finalizer of SplitMix64 (Steele, Lea, Flood 2014): nodes with other seeds begin with other backends. */
-    private static long mixBits(long x) {
-        long z = (x ^ (x >>> 30)) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
-        return z ^ (z >>> 31);
+    /** The finalizer of SplitMix64 (Steele, Lea, Flood 2014): instances with other seeds try other endpoints first. */
+    private static long mixBits(long bits) {
+        long mixed = (bits ^ (bits >>> 30)) * 0xbf58476d1ce4e5b9L;
+        mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
+        return mixed ^ (mixed >>> 31);
     }
 }
