--- a/node/src/main/java/fawnlb/backend/AttemptReporter.java
+++ b/node/src/main/java/fawnlb/backend/AttemptReporter.java
@@ -1,6 +1,7 @@
 package fawnlb.backend;
 
 import fawnlb.http.ResponseHead;
+import fawnlb.metrics.LogLine;
 import fawnlb.metrics.Metrics;
 import fawnlb.metrics.Metrics.Metric;
 import fawnlb.proxy.Backends;
@@ -54,7 +55,11 @@
     /** Reports the end; the head is null if none was read. */
     void reportEnd(AttemptEnd attemptEnd, ResponseHead head) {
         Metrics.increment(Metric.ATTEMPTS, attemptEnd.label());
-        LOG.fine(() -> request.requestId() + " at " + backend.address() + ": " + attemptEnd.label());
+        LOG.fine(() -> LogLine.event("attempt ended")
+                .requestId(request.requestId())
+                .backend(backend.identity().hostAndPort())
+                .reason(attemptEnd.label())
+                .toString());
         listener.onAttemptEnded(
                 attemptEnd,
                 tail.cachedTokens(),
--- a/node/src/main/java/fawnlb/backend/BackendExchange.java
+++ b/node/src/main/java/fawnlb/backend/BackendExchange.java
@@ -1,6 +1,7 @@
 package fawnlb.backend;
 
 import fawnlb.http.HttpClientConnection;
+import fawnlb.metrics.LogLine;
 import fawnlb.metrics.Metrics;
 import fawnlb.metrics.Metrics.Metric;
 import fawnlb.stream.EndReason;
@@ -75,8 +76,10 @@
         backend.onConnectFailed();
         Metrics.increment(Metric.LOCAL_CONNECT_FAILURES, "connect");
         if (++localConnectFailures > MAX_LOCAL_CONNECT_FAILURES) {
-            LOG.warning("no connection could be made to " + backend.address() + " for a reason of this machine: "
-                    + cause.getMessage());
+            LOG.warning(LogLine.event("connect failed for lack of a local resource")
+                    .backend(backend.identity().hostAndPort())
+                    .reason(cause.getMessage())
+                    .toString());
             finish(EndReason.NOT_SENT);
         } else {
             backend.timers()
--- a/node/src/main/java/fawnlb/backend/BackendPool.java
+++ b/node/src/main/java/fawnlb/backend/BackendPool.java
@@ -18,8 +18,15 @@
 import java.util.Set;
 import org.xnio.XnioIoThread;
 
-/** All backends that the list has named, an actor each. */
+/**
+ * The backends of one instance, one for each endpoint of the endpoint list. Limits the number of connections to all of
+ * them together. Belongs to one event loop.
+ */
 public final class BackendPool implements Backends {
+    /**
+     * Messages that may wait at one backend. A full mailbox means that the event loop is far behind; new attempts then
+     * fail at once instead of waiting longer than their clients do.
+     */
     private static final int MAILBOX_CAPACITY = 4096;
 
     private final XnioIoThread thread;
@@ -30,16 +37,16 @@
     private int openSockets;
 
     /**
-     * What holds for all connections; times in nanoseconds.
+     * The limits for all connections.
      *
      * @param connectTimeoutNanos how long a connect may take
-     * @param idle after how long a backend closes a connection that carries no request
-     * @param minRestNanos how long a connection rests between two requests. A backend may send a second answer behind
-     *     the first, some milliseconds late: behind the next request it would be taken for that one's answer, while a
-     *     resting connection closes
-     * @param probe how long a probe may take
-     * @param sockets how many connections may be open
-     * @param loadReportFields the fields of load reports, in their order
+     * @param backendIdleTimeoutNanos after how long a backend closes a connection that carries no request
+     * @param minRestNanos how long a connection rests between two requests. A backend may send a second response some
+     *     milliseconds after the first. On a resting connection that is a reason to close it; behind the next request
+     *     it would be taken for the response to that
+     * @param healthCheckTimeoutNanos how long a health check may take, from its start to the end of the response
+     * @param maxSockets how many connections may be open or being opened
+     * @param loadReportFields the fields of load reports, in the order in which their values are reported
      */
     public record Limits(
             long connectTimeoutNanos,
@@ -49,6 +56,7 @@
             int maxSockets,
             List<String> loadReportFields) {}
 
+    /** Creates a pool without backends, whose connections are handled by the given event loop. */
     public BackendPool(XnioIoThread thread, Timers timers, Limits limits, StreamRegistry streams) {
         this.thread = thread;
         this.timers = timers;
@@ -57,9 +65,10 @@
     }
 
     /**
-     * Where a backend listens, as the list says; one that is gone keeps the attempts it has. {@code startedAtNanos}:
-     * when it started. Idle connections from before that lead nowhere, and one to a machine that vanished does not say
-     * so.
+     * Adds, changes or removes a backend as the endpoint list says. An endpoint with another address, start time or
+     * dialect replaces the backend; attempts on the former one run on.
+     *
+     * @param startedAtNanos when the endpoint started, in nanoseconds on the instance's clock
      */
     public void updateBackend(
             long id, InetSocketAddress address, long startedAtNanos, EndpointPhase phase, Dialect dialect) {
@@ -80,7 +89,7 @@
         }
     }
 
-    /** Lets go of all others: a whole list names those that are gone by leaving them out. */
+    /** Removes all backends whose ids are not given: a complete endpoint list leaves out those that are gone. */
     public void retainOnly(Set<Long> listed) {
         backends.entrySet().removeIf(entry -> {
             boolean isRemoved = !listed.contains(entry.getKey());
@@ -118,7 +127,7 @@
         return reason -> {};
     }
 
-    /** Where a backend listens, {@code -} if it is not listed. */
+    /** Returns the host and port of a backend, {@code -} if there is none of that id. */
     public String describeAddress(long id) {
         Backend backend = backends.get(id);
         return backend == null ? "-" : backend.identity().hostAndPort();
@@ -134,7 +143,10 @@
         }
     }
 
-    /** Whether one more connection may be opened; idle ones to other backends make room. */
+    /**
+     * Returns whether one more connection may be opened. At the limit the connection that has been idle for longest is
+     * closed, to whichever backend it leads.
+     */
     boolean makeRoomForSocket() {
         if (openSockets >= limits.maxSockets()) {
             backends.values().stream()
@@ -162,10 +174,12 @@
         return streams;
     }
 
+    /** Counts a connection, when its connect starts. */
     void onSocketOpened() {
         openSockets++;
     }
 
+    /** Counts a connection that was closed or did not come up. */
     void onSocketClosed() {
         openSockets--;
     }
--- a/node/src/main/java/fawnlb/backend/IdleConnections.java
+++ b/node/src/main/java/fawnlb/backend/IdleConnections.java
@@ -6,11 +6,11 @@
 import java.util.Deque;
 import java.util.Iterator;
 
-/** The connections to one backend that carry no request, the longest idle first. They belong to the backend's actor. */
+/** The connections to one backend that carry no request, the longest idle first. Belongs to the backend's actor. */
 final class IdleConnections {
     /**
-     * A connection is retired at this part of the time after which the backend itself may close it: a request written
-     * to one that is just being closed would count as a reset.
+     * A connection is closed after this fraction of the backend's own idle timeout: a request that is written while the
+     * backend closes the connection would count as a reset. The rest of the timeout covers late timers.
      */
     private static final double RETIREMENT_FRACTION = 0.85;
 
@@ -23,11 +23,11 @@
     private record IdleConnection(HttpClientConnection connection, long idleSinceNanos) {}
 
     /**
-     * None so far.
+     * Starts without connections.
      *
-     * @param minRestNanos how long a connection rests before it is used again, in nanoseconds
-     * @param backendIdleTimeoutNanos after how long the backend may close an idle one, in nanoseconds
-     * @param onClosed told of each that was closed here
+     * @param minRestNanos how long a connection rests before it is used again
+     * @param backendIdleTimeoutNanos after how long the backend may close an idle connection
+     * @param onClosed called for each connection that is closed here
      */
     IdleConnections(long minRestNanos, long backendIdleTimeoutNanos, Timers timers, Runnable onClosed) {
         this.minRestNanos = minRestNanos;
@@ -36,16 +36,20 @@
         this.onClosed = onClosed;
     }
 
-    /** How long one is kept, in nanoseconds. */
+    /** Returns how long a connection is kept idle. */
     long retireAfterNanos() {
         return retireAfterNanos;
     }
 
+    /** Adds an open connection whose response has been read. */
     void add(HttpClientConnection connection) {
         idle.addLast(new IdleConnection(connection, timers.now()));
     }
 
-    /** The usable connection that has rested for the shortest time, and long enough; null if there is none. */
+    /**
+     * Removes and returns the usable connection that became idle last and has rested for long enough, null if there is
+     * none. The latest is the least likely to be closed by the backend; the others expire.
+     */
     HttpClientConnection take() {
         closeExpired();
         Iterator<IdleConnection> newestFirst = idle.descendingIterator();
@@ -63,7 +67,7 @@
         return null;
     }
 
-    /** Closes those that have been idle for too long, or that have closed. */
+    /** Drops connections that the backend has closed, and closes those that have been idle for too long. */
     void closeExpired() {
         while (!idle.isEmpty()
                 && (!idle.peek().connection().isOpen()
@@ -76,11 +80,12 @@
         return idle.isEmpty();
     }
 
-    /** Since when the eldest has been idle; there must be one. */
+    /** Returns since when the oldest connection has been idle; there must be one. */
     long oldestIdleSinceNanos() {
         return idle.peek().idleSinceNanos();
     }
 
+    /** Closes the connection that has been idle for longest; there must be one. */
     void closeOldest() {
         idle.poll().connection().close();
         onClosed.run();
--- a/node/src/main/java/fawnlb/backend/LoadReport.java
+++ b/node/src/main/java/fawnlb/backend/LoadReport.java
@@ -4,49 +4,54 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.OptionalDouble;
 
-/** A backend's load report, {@code TEXT inflight=7, queue=2, util=0.61}, in the order that the settings name. */
+/**
+ * Reads the load reports that backends send in the header X-Load, at the end of a stream and in answer to a health
+ * check, such as {@code TEXT inflight=7, queue=2, util=0.61}. Unknown fields and a leading word are ignored.
+ */
 final class LoadReport {
-    /** The settings' names of the values, and the report's. */
-    private static final Map<String, String> REPORT_NAMES = Map.of(
-            "active",
-            "inflight",
-            "waiting",
-            "queue",
-            "cpu",
-            "util",
-            "avg_ms",
-            "latency_ms",
-            "rps",
-            "qps",
-            "err_rps",
-            "eps");
+    /** The report's name of a value by the settings' name; any other name is the same in both. */
+    private static final Map<String, String> REPORT_NAMES = Map.ofEntries(
+            Map.entry("active", "inflight"),
+            Map.entry("waiting", "queue"),
+            Map.entry("cpu", "util"),
+            Map.entry("avg_ms", "latency_ms"),
+            Map.entry("rps", "qps"),
+            Map.entry("err_rps", "eps"));
 
     private LoadReport() {}
 
-    /** The values, 0 for one that is missing; nothing if the text is no report. */
+    /**
+     * Returns the values of the given fields in their order, 0 for one that is missing or no finite number from 0 on;
+     * an empty list if none of them is there.
+     */
     static List<Double> parse(String text, List<String> fields) {
         List<Double> values = new ArrayList<>();
         boolean anyPresent = false;
         for (String field : fields) {
-            Double value = findValue(text, REPORT_NAMES.getOrDefault(field, field));
-            anyPresent |= value != null;
-            values.add(value == null ? 0 : value);
+            OptionalDouble value = findValue(text, REPORT_NAMES.getOrDefault(field, field));
+            anyPresent |= value.isPresent();
+            values.add(value.orElse(0));
         }
         return anyPresent ? values : List.of();
     }
 
-    private static Double findValue(String text, String name) {
+    private static OptionalDouble findValue(String text, String name) {
         for (String part : text.toLowerCase(Locale.ROOT).split("[\\s,;]+")) {
             if (part.startsWith(name + "=")) {
-                try {
-                    double value = Double.parseDouble(part.substring(name.length() + 1));
-                    return Double.isFinite(value) && value >= 0 ? value : null;
-                } catch (NumberFormatException e) {
-                    return null;
-                }
+                return parseValue(part.substring(name.length() + 1));
             }
         }
-        return null;
+        return OptionalDouble.empty();
+    }
+
+    private static OptionalDouble parseValue(String number) {
+        try {
+            double value = Double.parseDouble(number);
+            return Double.isFinite(value) && value >= 0 ? OptionalDouble.of(value) : OptionalDouble.empty();
+        } catch (NumberFormatException e) {
+            return OptionalDouble.empty();
+        }
     }
 }
--- a/node/src/main/java/fawnlb/backend/OutboundRequest.java
+++ b/node/src/main/java/fawnlb/backend/OutboundRequest.java
@@ -6,9 +6,16 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A request as it goes to a backend: path with query, id and body as the client sent them. {@code translatedBody}: the
- * body in the other dialect, null where no backend speaks it. {@code idempotencyKey}: by which backends know a repeat,
- * as the client sent it, null if it sent none.
+ * A request in the form in which it goes to a backend.
+ *
+ * @param dialect the client's dialect
+ * @param path the path with its query, as the client sent it
+ * @param id the id that the client gave the request
+ * @param idempotencyKey by which backends recognise a repeated request, as the client sent it; null if it sent none
+ * @param isStreamed whether the client asked for a stream of events
+ * @param body the body as the client sent it
+ * @param translatedBody the body in the other dialect, null where no backend speaks it
+ * @param responseSummary is filled in with what the response shows
  */
 public record OutboundRequest(
         Dialect dialect,
@@ -20,10 +27,10 @@
         byte[] translatedBody,
         ResponseSummary responseSummary)
         implements IncomingRequest.RequestPayload {
-    /** The header of a client for its backend: a node reads nothing in it, and must not lose it. */
+    /** A header that goes from the client to the backend unchanged. */
     public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-    /** What a backend's answer told of itself; belongs to the I/O thread. */
+    /** What a backend's response has shown, for the log and the budgets. Belongs to the request's event loop. */
     public static final class ResponseSummary {
         private final boolean collectsUsage;
         private Dialect backendDialect;
@@ -32,9 +39,13 @@
         private long tokens;
         private boolean hasFinished;
 
-        /** Counts: someone wants to know of tokens and events, which costs reading them. */
-        public ResponseSummary(boolean counts) {
-            this.collectsUsage = counts;
+        /**
+         * Starts empty.
+         *
+         * @param collectsUsage whether tokens and events are counted, which costs parsing the response
+         */
+        public ResponseSummary(boolean collectsUsage) {
+            this.collectsUsage = collectsUsage;
         }
 
         boolean collectsUsage() {
@@ -52,40 +63,44 @@
             status = responseStatus;
         }
 
-        /** The status that the backend's answer came with. */
+        /** The status of the backend's response, 200 before there is one. */
         public int status() {
             return status;
         }
 
-        /** The dialect of the backend that answered, null if none did. */
+        /** The dialect of the backend that responded, null if none did. */
         public Dialect backendDialect() {
             return backendDialect;
         }
 
-        /** Whether the last event of a streamed answer has come, though the connection may have broken behind it. */
+        /** Whether the last event of a stream was read, even if the connection broke after it. */
         public boolean hasFinished() {
             return hasFinished;
         }
 
-        /** Unknown events that were skipped, or passed on unread between speakers of one dialect. */
+        /** Events of unknown types; a translation leaves them out, otherwise they are relayed unread. */
         public int skippedEvents() {
             return skippedEvents;
         }
 
+        /** The tokens of prompt and response as the backend has counted them, 0 if it did not. */
         public long tokens() {
             return tokens;
         }
     }
 
+    /** Whether there is a body in this dialect. */
     boolean canBeSentAs(Dialect backendDialect) {
         return dialect == backendDialect || translatedBody != null;
     }
 
     /**
-     * Head and body; the body is not copied, since it stays for another attempt anyhow.
+     * Encodes the request's head, and returns it with the body, which is not copied: another attempt may need it.
      *
-     * @param remainingNanos how long the client can wait from now on, in nanoseconds; to be asked for when the bytes
-     *     are written, so that a backend is never told of more than is left
+     * @param backendDialect a dialect for which {@link #canBeSentAs} is true
+     * @param host the value of the header Host
+     * @param remainingNanos how long the client can wait from now on; to be computed when the request is written, so
+     *     that the backend is never told of more time than is left
      */
     ByteBuffer[] encode(Dialect backendDialect, String host, long remainingNanos) {
         byte[] content = backendDialect == dialect ? body : translatedBody;
--- a/node/src/main/java/fawnlb/backend/ResponseTail.java
+++ b/node/src/main/java/fawnlb/backend/ResponseTail.java
@@ -6,7 +6,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The last bytes of a stream, where a backend tells what it had kept of the prompt and how loaded it is. */
+/**
+ * The last bytes of a response, where a backend states how much of the prompt it had cached and how loaded it is.
+ * Keeping only the end spares parsing the rest of streams that are relayed unread.
+ */
 final class ResponseTail {
     private static final Pattern CACHED_TOKENS =
             Pattern.compile("\"(?:cached_tokens|cache_read_input_tokens)\"\\s*:\\s*(\\d{1,9})\\D");
@@ -16,10 +19,13 @@
     private static final Pattern MESSAGES_LAST_EVENT =
             Pattern.compile("(?m)^event: ?message_stop\\s*$|\"type\"\\s*:\\s*\"message_stop\"");
 
-    private final byte[] lastBytes = new byte[1024];
+    /** The usage, the load report and the last event of either dialect together take a few hundred bytes. */
+    private static final int MAX_TAIL_BYTES = 1024;
+
+    private final byte[] lastBytes = new byte[MAX_TAIL_BYTES];
     private int size;
 
-    /** Adds a piece without reading it up. */
+    /** Adds the next bytes of the response; the buffer's position stays. */
     void add(ByteBuffer chunk) {
         int added = Math.min(chunk.remaining(), lastBytes.length);
         int retained = Math.min(size, lastBytes.length - added);
@@ -32,7 +38,7 @@
         return new String(lastBytes, 0, size, StandardCharsets.ISO_8859_1);
     }
 
-    /** Prompt tokens that the backend still held, 0 if it does not say. */
+    /** Returns the prompt tokens that the backend found in its cache, 0 if it does not say. */
     long cachedTokens() {
         long cachedTokens = 0;
         for (Matcher matcher = CACHED_TOKENS.matcher(text()); matcher.find(); ) {
@@ -41,14 +47,14 @@
         return cachedTokens;
     }
 
-    /** Whether the last event of a streamed answer is among them. */
+    /** Returns whether the last event of a stream in this dialect is among the bytes. */
     boolean hasLastEvent(Dialect dialect) {
         return (dialect == Dialect.CHAT ? CHAT_LAST_EVENT : MESSAGES_LAST_EVENT)
                 .matcher(text())
                 .find();
     }
 
-    /** The load report, empty if there is none. */
+    /** Returns the last load report as text, empty if there is none. */
     String loadReport() {
         String loadReport = "";
         for (Matcher matcher = LOAD_REPORT.matcher(text()); matcher.find(); ) {
