--- a/node/src/main/java/fawnlb/backend/OutboundRequest.java
+++ b/node/src/main/java/fawnlb/backend/OutboundRequest.java
@@ -10,7 +10,7 @@
  *
  * @param dialect the client's dialect
  * @param path the path with its query, as the client sent it
- * @param id the id that the client gave the request
+ * @param requestId the id that the client gave the request
  * @param idempotencyKey by which backends recognise a repeated request, as the client sent it; null if it sent none
  * @param isStreamed whether the client asked for a stream of events
  * @param body the body as the client sent it
@@ -20,7 +20,7 @@
 public record OutboundRequest(
         Dialect dialect,
         String path,
-        String id,
+        String requestId,
         String idempotencyKey,
         boolean isStreamed,
         byte[] body,
@@ -106,7 +106,7 @@
         byte[] content = backendDialect == dialect ? body : translatedBody;
         byte[] head = ("POST " + (backendDialect == dialect ? path : backendDialect.path()) + " HTTP/1.1\r\nHost: "
                         + host
-                        + "\r\nX-Request-Id: " + id
+                        + "\r\nX-Request-Id: " + requestId
                         + (idempotencyKey == null ? "" : "\r\n" + IDEMPOTENCY_KEY + ": " + idempotencyKey)
                         + "\r\nX-Deadline-Ms: " + remainingNanos / 1_000_000
                         + "\r\nContent-Type: application/json\r\nContent-Length: " + content.length + "\r\n\r\n")
