--- a/node/src/main/java/fawnlb/http/BodyFraming.java
+++ b/node/src/main/java/fawnlb/http/BodyFraming.java
@@ -1,19 +1,25 @@
 package fawnlb.http;
 
-import java.io.IOException;
 import java.nio.ByteBuffer;
 
 /**
- * The content of one message, of a request as of a response: of a given length, in chunks, or all up to the
- * connection's end. It takes the bytes that belong to it and leaves those that follow. Whatever can't be read is an
- * error: two readers that guess differently at where a message ends see different requests in it.
+ * Decodes the body of one request or response: of a declared length, in chunks, or up to the end of the connection.
+ *
+ * <p>Consumes exactly the bytes that belong to the body and leaves the bytes that follow. Whatever can't be parsed is
+ * an error, because two parsers that guess differently where a message ends see different messages.
  */
 final class BodyFraming {
-    /** A chunk's size with its extensions, or all trailers. */
+    /** The limit for the size line of one chunk with its extensions, and for all trailers together. */
     private static final int MAX_FRAMING_BYTES = 4096;
-
+    /** Fifteen digits can't overflow a long, neither decimal nor hexadecimal ones. */
     private static final int MAX_LENGTH_DIGITS = 15;
 
+    private static final int DECIMAL = 10;
+    private static final int HEXADECIMAL = 16;
+    private static final int FIRST_NON_ASCII = 0x80;
+    /** How much of a malformed length an error message quotes. */
+    private static final int MAX_QUOTED_CHARACTERS = 40;
+
     private enum State {
         FIXED_LENGTH,
         CHUNK_SIZE,
@@ -24,7 +30,7 @@
         COMPLETE
     }
 
-    private final LineReader lines = new LineReader(MAX_FRAMING_BYTES, true);
+    private final LineReader lines = LineReader.requiringCrlf(MAX_FRAMING_BYTES);
     private final long maxChunkBytes;
     private State state;
     private long remainingBytes;
@@ -35,26 +41,32 @@
         this.maxChunkBytes = maxChunkBytes;
     }
 
+    /** The framing of a body whose length the head declares. */
     static BodyFraming fixedLength(long lengthBytes) {
         return new BodyFraming(lengthBytes == 0 ? State.COMPLETE : State.FIXED_LENGTH, lengthBytes, 0);
     }
 
-    /** Largest: a chunk said to be larger is an error, before any of it is taken. */
+    /** The framing of a body in chunks. A chunk that declares more bytes is an error before any of it is copied. */
     static BodyFraming chunked(long maxChunkBytes) {
         return new BodyFraming(State.CHUNK_SIZE, 0, maxChunkBytes);
     }
 
+    /** The framing of a response body that ends with its connection. */
     static BodyFraming untilClose() {
         return new BodyFraming(State.UNTIL_CLOSE, Long.MAX_VALUE, 0);
     }
 
-    /** A length as {@code BodyFraming-Length} gives it: digits alone. */
-    static long parseContentLength(String text) throws IOException {
-        return parseLength(text, 10);
+    /** Parses the value of {@code Content-Length}, which consists of digits alone. */
+    static long parseContentLength(String text) throws MalformedMessageException {
+        return parseLength(text, DECIMAL);
     }
 
-    /** Reads on: what the content holds goes to {@code output}, as long as there is room. */
-    void decode(ByteBuffer input, ByteBuffer output) throws IOException {
+    /**
+     * Decodes input until the input is used up, the body is complete or the output is full.
+     *
+     * @throws MalformedMessageException if the framing can't be parsed
+     */
+    void decode(ByteBuffer input, ByteBuffer output) throws MalformedMessageException {
         while (state != State.COMPLETE && input.hasRemaining()) {
             switch (state) {
                 case FIXED_LENGTH, CHUNK_DATA, UNTIL_CLOSE -> {
@@ -63,20 +75,12 @@
                     }
                     copyContent(input, output);
                 }
-                default -> {
-                    String line = lines.readLine(input);
-                    if (line != null) {
-                        onLine(line);
-                    } else if (state == State.CHUNK_END
-                            && !"\r".startsWith(lines.partialLine().toString())) {
-                        throw new IOException("chunk longer than its size");
-                    }
-                }
+                default -> readFramingLine(input);
             }
         }
     }
 
-    /** The other side sent its last byte: true if the content is whole. */
+    /** Must be called when the connection has ended. Returns whether the body is complete. */
     boolean onEndOfInput() {
         if (state == State.UNTIL_CLOSE) {
             state = State.COMPLETE;
@@ -84,6 +88,7 @@
         return isComplete();
     }
 
+    /** Whether the last byte of the body has been decoded. */
     boolean isComplete() {
         return state == State.COMPLETE;
     }
@@ -99,24 +104,28 @@
         }
     }
 
-    private void onLine(String line) throws IOException {
+    private void readFramingLine(ByteBuffer input) throws MalformedMessageException {
+        String line = lines.readLine(input);
+        if (line != null) {
+            onLine(line);
+        } else if (state == State.CHUNK_END
+                && !"\r".startsWith(lines.partialLine().toString())) {
+            throw chunkTooLong();
+        }
+    }
+
+    private void onLine(String line) throws MalformedMessageException {
         switch (state) {
             case CHUNK_SIZE -> {
                 int extensionStart = line.indexOf(';');
-                remainingBytes = parseLength(
-                        extensionStart < 0
-                                ? line
-                                : line.substring(0, extensionStart).stripTrailing(),
-                        16);
-                if (remainingBytes > maxChunkBytes) {
-                    throw new IOException("chunk of " + remainingBytes + " bytes");
-                }
-                state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK_DATA;
-                lines.resetLimit();
+                String size = extensionStart < 0
+                        ? line
+                        : line.substring(0, extensionStart).stripTrailing();
+                beginChunk(parseLength(size, HEXADECIMAL));
             }
             case CHUNK_END -> {
                 if (!line.isEmpty()) {
-                    throw new IOException("chunk longer than its size");
+                    throw chunkTooLong();
                 }
                 state = State.CHUNK_SIZE;
                 lines.resetLimit();
@@ -125,12 +134,26 @@
         }
     }
 
-    private static long parseLength(String text, int radix) throws IOException {
+    private void beginChunk(long sizeBytes) throws MalformedMessageException {
+        remainingBytes = sizeBytes;
+        if (sizeBytes > maxChunkBytes) {
+            throw new MalformedMessageException("chunk of " + sizeBytes + " bytes");
+        }
+        state = sizeBytes == 0 ? State.TRAILERS : State.CHUNK_DATA;
+        lines.resetLimit();
+    }
+
+    private static MalformedMessageException chunkTooLong() {
+        return new MalformedMessageException("chunk longer than its size");
+    }
+
+    private static long parseLength(String text, int radix) throws MalformedMessageException {
         boolean isPlainNumber = !text.isEmpty()
                 && text.length() <= MAX_LENGTH_DIGITS
-                && text.chars().allMatch(c -> c < 0x80 && Character.digit(c, radix) >= 0);
+                && text.chars().allMatch(c -> c < FIRST_NON_ASCII && Character.digit(c, radix) >= 0);
         if (!isPlainNumber) {
-            throw new IOException("not a length: '" + text.substring(0, Math.min(40, text.length())) + "'");
+            throw new MalformedMessageException(
+                    "not a length: '" + text.substring(0, Math.min(MAX_QUOTED_CHARACTERS, text.length())) + "'");
         }
         return Long.parseLong(text, radix);
     }
--- a/node/src/main/java/fawnlb/http/HttpClientConnection.java
+++ b/node/src/main/java/fawnlb/http/HttpClientConnection.java
@@ -1,34 +1,31 @@
 package fawnlb.http;
 
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Timers;
 import fawnlb.eventloop.UncaughtErrorHandler;
 import java.io.IOException;
-import java.net.ConnectException;
 import java.net.InetSocketAddress;
-import java.net.NoRouteToHostException;
-import java.net.PortUnreachableException;
 import java.nio.ByteBuffer;
-import org.xnio.IoFuture;
 import org.xnio.IoUtils;
-import org.xnio.OptionMap;
-import org.xnio.Options;
 import org.xnio.StreamConnection;
 import org.xnio.XnioIoThread;
 
 /**
- * The client's side of one HTTP/1.1 connection: one call at a time, never sent again by itself. All of it runs on one
- * I/O thread.
+ * The client's side of one HTTP/1.1 connection. It carries one request at a time and never retries a request by itself.
+ *
+ * <p>All methods must be called on the connection's I/O thread, and all handlers are called on it.
  */
+@EventLoopOnly
 public final class HttpClientConnection {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
-    /** What one read brings is copied out before the next, so a thread needs only one. */
+    /** Bytes are copied out of the buffer before the next read, so one buffer a thread is enough. */
     private static final ThreadLocal<ByteBuffer> READ_BUFFER =
             ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(READ_BUFFER_BYTES));
 
-    /** A connection that broke ends no answer, not even one that goes on to the connection's end. */
+    /** What {@link #readOrReset} returns for a read that failed; the end of the input is -1. */
     private static final int RESET = -2;
 
-    /** So long a head may take from its first byte to its end. */
+    /** Backends send a head in one piece. A head that begins and does not end would hold its request for long. */
     private static final long RESPONSE_HEAD_TIMEOUT_NANOS = 500_000_000;
 
     private final StreamConnection channel;
@@ -41,43 +38,53 @@
     private boolean writeFailed;
     private boolean closed;
 
-    /** What becomes of one call: perhaps head and pieces of the body, and always one of the two ends. */
+    /** Receives the response to one request: perhaps a head and parts of the body, and then exactly one of two ends. */
     public interface ResponseHandler {
+        /** Called at most once, before the first part of the body. */
         void onHead(ResponseHead head);
 
-        /** The next piece comes when {@link HttpClientConnection#resumeReading} is called. */
+        /** Called with a part of the body. The next part comes after {@link HttpClientConnection#resumeReading}. */
         void onBody(ByteBuffer bytes);
 
-        /** The response is whole. */
+        /**
+         * Called when the response is complete.
+         *
+         * @param reusable whether the connection can carry another request; if not, it is closed
+         */
         void onComplete(boolean reusable);
 
-        /** The call broke. */
+        /** Called when the request or its response failed. The connection is closed. */
         void onFailure(CallFailure failure);
     }
 
-    /** How a call can break. NOT_WRITTEN: before the request's last byte was handed to the network. */
+    /** How a request or its response can fail. */
     public enum CallFailure {
+        /** The connection failed before the request's last byte was passed to the kernel. */
         REQUEST_NOT_WRITTEN,
+        /** The connection was closed or reset before the response was complete. */
         CONNECTION_CLOSED,
+        /** The response could not be parsed. */
         MALFORMED_RESPONSE,
+        /** The head of the response began and did not end in time. */
         HEAD_TIMEOUT
     }
 
-    /** Hears whether a connect came up: a connection, or null. */
+    /** Receives the result of a connect. Exactly one of its methods is called, once. */
     @FunctionalInterface
     public interface ConnectHandler {
+        /** Called with the connection, or with null if the connect failed or timed out. */
         void onConnected(HttpClientConnection connectionOrNull);
 
         /**
-         * Instead, where it failed for a reason of this machine: no descriptor, port, buffer or route. It says nothing
-         * of the other side.
+         * Called instead if the connect failed for a reason of this machine, such as no free descriptor, port or
+         * buffer, or no route. The failure says nothing about the remote side.
          */
         default void onLocalFailure(IOException cause) {
             onConnected(null);
         }
     }
 
-    private HttpClientConnection(StreamConnection channel, Timers timers) {
+    HttpClientConnection(StreamConnection channel, Timers timers) {
         this.channel = channel;
         this.timers = timers;
         channel.getSourceChannel().setReadListener(c -> onReadable());
@@ -85,52 +92,28 @@
         channel.getSourceChannel().resumeReads();
     }
 
-    /** Connects; the answer comes once, at the latest after {@code timeoutNanos} nanoseconds. */
+    /**
+     * Connects to an address. The handler is called once, on the given thread, at the latest after the timeout.
+     *
+     * @param timeoutNanos after how many nanoseconds the connect is cancelled
+     */
     public static void connect(
             XnioIoThread thread,
             Timers timers,
             InetSocketAddress address,
             long timeoutNanos,
             ConnectHandler connectHandler) {
-        IoFuture<StreamConnection> future =
-                thread.openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
-        // Taking the connect back frees its descriptor; one to a vanished machine would hold it for minutes.
-        Timers.Timer timer = timers.schedule(timeoutNanos, future::cancel);
-        future.addNotifier(
-                (result, attachment) -> thread.execute(() -> {
-                    timer.cancel();
-                    if (result.getStatus() == IoFuture.Status.FAILED && isLocalFailure(result.getException())) {
-                        connectHandler.onLocalFailure(result.getException());
-                    } else {
-                        connectHandler.onConnected(
-                                result.getStatus() == IoFuture.Status.DONE ? toConnection(result, timers) : null);
-                    }
-                }),
-                null);
-    }
-
-    /** The platform has exceptions of their own for what the other side or the way to it refuses. */
-    private static boolean isLocalFailure(IOException cause) {
-        return !(cause instanceof ConnectException
-                || cause instanceof NoRouteToHostException
-                || cause instanceof PortUnreachableException);
-    }
-
-    private static HttpClientConnection toConnection(IoFuture<? extends StreamConnection> future, Timers timers) {
-        try {
-            return new HttpClientConnection(future.get(), timers);
-        } catch (IOException e) {
-            return null;
-        }
+        new Connector(timers, connectHandler).connect(thread, address, timeoutNanos);
     }
 
+    /** Whether neither side has closed the connection, as far as this side has read. */
     public boolean isOpen() {
         return !closed && channel.isOpen();
     }
 
     /**
-     * Whether a request can be sent on it, between two calls. What has come unasked by then, a second answer to the
-     * call before or the other side's close, would be taken for the next call's answer.
+     * Whether a request can be sent now. Must be called between two requests. Bytes that came since the last response,
+     * or the remote side's close, would be taken for the next response, so the connection is closed in that case.
      */
     public boolean isUsable() {
         if (isOpen()) {
@@ -145,6 +128,7 @@
         return isOpen();
     }
 
+    /** Closes the connection without a call to its handler. */
     public void close() {
         cancelHeadTimeout();
         closed = true;
@@ -152,7 +136,12 @@
         IoUtils.safeClose(channel);
     }
 
-    /** Sends a request, given whole, in as many buffers as it comes in. */
+    /**
+     * Sends a request. Must not be called before the previous request has ended.
+     *
+     * @param handler receives the response
+     * @param request head and body, complete, in any number of buffers
+     */
     public void send(ResponseHandler handler, ByteBuffer... request) {
         unwrittenRequest = request;
         parser = new ResponseParser();
@@ -162,8 +151,8 @@
     }
 
     /**
-     * Asks for the next piece of the body. It comes when the I/O thread has looked at all sockets again: a wake-up
-     * would be a task, and a backend that sends without a pause would have the thread to itself.
+     * Asks for the next part of the body. It comes after the I/O thread has polled all sockets again. An immediate read
+     * would let a backend that sends without a pause occupy the thread.
      */
     public void resumeReading() {
         if (!closed) {
@@ -171,7 +160,7 @@
         }
     }
 
-    /** Takes {@link #resumeReading} back: a piece is on its way to its reader after all. */
+    /** Revokes {@link #resumeReading}, because a part of the body is still on its way to its reader. */
     public void pauseReading() {
         if (!closed) {
             channel.getSourceChannel().suspendReads();
@@ -193,7 +182,7 @@
             unwrittenRequest = null;
             channel.getSinkChannel().suspendWrites();
         } catch (IOException e) {
-            // The answer may have been sent before the other side closed: readable() looks for it.
+            // The remote side may have responded before it closed, so onReadable() still looks for a response.
             writeFailed = true;
             channel.getSinkChannel().suspendWrites();
             channel.getSourceChannel().wakeupReads();
@@ -217,36 +206,19 @@
     private void readResponse() {
         ByteBuffer input = READ_BUFFER.get().clear();
         int count = readOrReset(input);
-        try {
-            if (count == 0 && writeFailed) {
-                // Nobody will answer a request of which the rest can't be written.
-                finish(false, CallFailure.CONNECTION_CLOSED);
-                return;
-            }
-            if (count == 0) {
-                channel.getSourceChannel().resumeReads();
-                return;
-            }
-            if (responseHandler == null) {
-                close();
-                return;
-            }
-            if (count < 0) {
-                finish(count != RESET && parser.onEndOfInput(), CallFailure.CONNECTION_CLOSED);
-                return;
-            }
-            input.flip();
-            ByteBuffer body = ByteBuffer.allocate(count);
-            parser.parse(input, body);
-            body.flip();
-            updateHeadTimeout();
-            deliver(body);
-        } catch (IOException e) {
-            finish(false, CallFailure.MALFORMED_RESPONSE);
+        if (count == 0) {
+            onNothingRead();
+        } else if (responseHandler == null) {
+            // Nothing was requested, so these bytes or this close end the connection.
+            close();
+        } else if (count < 0) {
+            onClosedByRemote(count);
+        } else {
+            parseResponse(input.flip());
         }
     }
 
-    /** Bytes read, below 0 if the other side has closed the connection, {@link #RESET} if it broke. */
+    /** Returns the number of bytes, -1 if the remote side has closed the connection, {@link #RESET} if it failed. */
     private int readOrReset(ByteBuffer input) {
         try {
             return channel.getSourceChannel().read(input);
@@ -255,12 +227,41 @@
         }
     }
 
-    /** A head comes in one piece or soon after; one that begins and does not end would hold its call for long. */
+    private void onNothingRead() {
+        if (writeFailed) {
+            // No response will come to a request whose rest can't be written.
+            fail(CallFailure.CONNECTION_CLOSED);
+        } else {
+            channel.getSourceChannel().resumeReads();
+        }
+    }
+
+    /** A reset ends no response, not even one that ends with its connection: half of it would look complete. */
+    private void onClosedByRemote(int count) {
+        if (count != RESET && parser.onEndOfInput()) {
+            complete();
+        } else {
+            fail(CallFailure.CONNECTION_CLOSED);
+        }
+    }
+
+    private void parseResponse(ByteBuffer input) {
+        ByteBuffer body = ByteBuffer.allocate(input.remaining());
+        try {
+            parser.parse(input, body);
+        } catch (MalformedResponseException e) {
+            fail(CallFailure.MALFORMED_RESPONSE);
+            return;
+        }
+        updateHeadTimeout();
+        deliver(body.flip());
+    }
+
     private void updateHeadTimeout() {
         if (parser.head() != null) {
             cancelHeadTimeout();
         } else if (headTimeout == null) {
-            headTimeout = timers.schedule(RESPONSE_HEAD_TIMEOUT_NANOS, () -> finish(false, CallFailure.HEAD_TIMEOUT));
+            headTimeout = timers.schedule(RESPONSE_HEAD_TIMEOUT_NANOS, () -> fail(CallFailure.HEAD_TIMEOUT));
         }
     }
 
@@ -279,38 +280,49 @@
         if (closed) {
             return;
         }
-        boolean complete = parser.isComplete();
+        boolean isComplete = parser.isComplete();
         if (body.hasRemaining()) {
             channel.getSourceChannel().suspendReads();
             responseHandler.onBody(body);
         }
-        if (complete) {
-            finish(true, CallFailure.CONNECTION_CLOSED);
+        if (isComplete) {
+            complete();
         }
     }
 
-    /** The call is whole, or broke so. */
-    private void finish(boolean complete, CallFailure failure) {
+    private void complete() {
         if (closed) {
             return;
         }
-        cancelHeadTimeout();
-        ResponseHandler handler = responseHandler;
         boolean written = unwrittenRequest == null;
-        boolean reusable = complete && written && parser.head().keepAlive() && !parser.hasSurplusBytes();
-        responseHandler = null;
+        boolean reusable = written && parser.head().keepAlive() && !parser.hasSurplusBytes();
+        ResponseHandler handler = detachHandler();
         if (reusable) {
             channel.getSourceChannel().resumeReads();
         } else {
             close();
         }
-        if (handler == null) {
+        if (handler != null) {
+            handler.onComplete(reusable);
+        }
+    }
+
+    private void fail(CallFailure failure) {
+        if (closed) {
             return;
         }
-        if (complete) {
-            handler.onComplete(reusable);
-        } else {
+        boolean written = unwrittenRequest == null;
+        ResponseHandler handler = detachHandler();
+        close();
+        if (handler != null) {
             handler.onFailure(written ? failure : CallFailure.REQUEST_NOT_WRITTEN);
         }
     }
+
+    private ResponseHandler detachHandler() {
+        cancelHeadTimeout();
+        ResponseHandler handler = responseHandler;
+        responseHandler = null;
+        return handler;
+    }
 }
--- a/node/src/main/java/fawnlb/http/RequestBodyReceiver.java
+++ b/node/src/main/java/fawnlb/http/RequestBodyReceiver.java
@@ -173,7 +173,7 @@
                 framing.decode(input, body);
             }
             return framing.isComplete();
-        } catch (IOException e) {
+        } catch (MalformedMessageException e) {
             throw new InvalidRequestException(
                     StatusCodes.BAD_REQUEST,
                     InvalidRequestException.BODY,
--- a/node/src/main/java/fawnlb/http/RequestHeadValidator.java
+++ b/node/src/main/java/fawnlb/http/RequestHeadValidator.java
@@ -4,7 +4,6 @@
 import io.undertow.util.HeaderValues;
 import io.undertow.util.Headers;
 import io.undertow.util.StatusCodes;
-import java.io.IOException;
 
 /**
  * Checks request heads more strictly than Undertow, which parses them. A request that two parsers could understand
@@ -83,7 +82,7 @@
     private static void validateContentLength(HeaderValues contentLength) throws InvalidRequestException {
         try {
             BodyFraming.parseContentLength(contentLength.getFirst());
-        } catch (IOException e) {
+        } catch (MalformedMessageException e) {
             throw new InvalidRequestException(
                     StatusCodes.BAD_REQUEST, Headers.CONTENT_LENGTH_STRING, "Content-Length: " + e.getMessage(), e);
         }
--- a/node/src/test/java/fawnlb/http/ResponseParserTest.java
+++ b/node/src/test/java/fawnlb/http/ResponseParserTest.java
@@ -5,42 +5,52 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import org.junit.Test;
 
 public class ResponseParserTest {
     private static final String OK = "HTTP/1.1 200 OK\r\n";
-    /** Input; status; body; whole before the end of the connection; connection usable again. */
-    private static final Object[][] VALID_RESPONSES = {
-        {OK + "Content-Length: 3\r\n\r\nabc", 200, "abc", true, true},
-        {OK + "content-length: 0\r\n\r\n", 200, "", true, true},
-        {OK + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n", 200, "abcde", true, true},
-        {OK + "Transfer-Encoding: Chunked\r\n\r\n0\r\nTrailer: x\r\n\r\n", 200, "", true, true},
-        {"HTTP/1.1 100 Continue\r\n\r\n" + OK + "Content-Length: 1\r\n\r\na", 200, "a", true, true},
-        {"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx", 503, "x", true, false},
-        {"HTTP/1.0 200 OK\nContent-Length: 1\n\nx", 200, "x", true, false},
-        {"HTTP/1.1 204\r\n\r\n", 204, "", true, true},
-        {
-            "HTTP/1.1 102 Processing\r\nX: y\r\n\r\nHTTP/1.1 100\r\n\r\n" + OK + "Content-Length: 1\r\n\r\na",
-            200,
-            "a",
-            true,
-            true
-        },
-        {OK + "Connection: close\r\n\r\nall of it", 200, "all of it", false, false},
-        {OK + "X-Note: a\r\n  b\r\n\tc\r\nCONTENT-LENGTH: 1\r\n\r\na", 200, "a", true, true},
-        {OK + "Connection:\r\n close\r\nContent-Length: 1\r\n\r\na", 200, "a", true, false},
-        {
-            OK
-                    + "TRANSFER-ENCODING: CHUNKED\r\n\r\n00003 ; a=\"x;y\\\"z\";b\r\nabc\r\n0;q=\"\"\r\nA: b\r\nC: d\r\n\r\n",
-            200,
-            "abc",
-            true,
-            true
-        },
-    };
+    /** A response and how it must be parsed. */
+    private record ValidResponse(
+            String input, int status, String body, boolean completeBeforeClose, boolean keepAlive) {}
+
+    private static ValidResponse persistent(String input, int status, String body) {
+        return new ValidResponse(input, status, body, true, true);
+    }
+
+    /** A response with a length of its own, after which the connection closes. */
+    private static ValidResponse closing(String input, int status, String body) {
+        return new ValidResponse(input, status, body, true, false);
+    }
+
+    /** A response whose body ends with its connection. */
+    private static ValidResponse untilClose(String input, int status, String body) {
+        return new ValidResponse(input, status, body, false, false);
+    }
+
+    private static final List<ValidResponse> VALID_RESPONSES = List.of(
+            persistent(OK + "Content-Length: 3\r\n\r\nabc", 200, "abc"),
+            persistent(OK + "content-length: 0\r\n\r\n", 200, ""),
+            persistent(OK + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n", 200, "abcde"),
+            persistent(OK + "Transfer-Encoding: Chunked\r\n\r\n0\r\nTrailer: x\r\n\r\n", 200, ""),
+            persistent("HTTP/1.1 100 Continue\r\n\r\n" + OK + "Content-Length: 1\r\n\r\na", 200, "a"),
+            closing("HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx", 503, "x"),
+            closing("HTTP/1.0 200 OK\nContent-Length: 1\n\nx", 200, "x"),
+            persistent("HTTP/1.1 204\r\n\r\n", 204, ""),
+            persistent(
+                    "HTTP/1.1 102 Processing\r\nX: y\r\n\r\nHTTP/1.1 100\r\n\r\n" + OK + "Content-Length: 1\r\n\r\na",
+                    200,
+                    "a"),
+            untilClose(OK + "Connection: close\r\n\r\nall of it", 200, "all of it"),
+            persistent(OK + "X-Note: a\r\n  b\r\n\tc\r\nCONTENT-LENGTH: 1\r\n\r\na", 200, "a"),
+            closing(OK + "Connection:\r\n close\r\nContent-Length: 1\r\n\r\na", 200, "a"),
+            persistent(
+                    OK
+                            + "TRANSFER-ENCODING: CHUNKED\r\n\r\n00003 ; a=\"x;y\\\"z\";b\r\nabc\r\n0;q=\"\"\r\nA: b\r\nC: d\r\n\r\n",
+                    200,
+                    "abc"));
 
     private static final String[] MALFORMED_RESPONSES = {
         OK + "\r\nall of it",
@@ -80,34 +90,41 @@
     }
 
     @Test
-    public void validResponsesParseAtAnyFragmentation() throws IOException {
-        for (Object[] row : VALID_RESPONSES) {
+    public void validResponsesParseAtAnyFragmentation() throws MalformedResponseException {
+        for (ValidResponse response : VALID_RESPONSES) {
             for (int fragmentBytes : new int[] {1, 2, 7, 1000}) {
-                ResponseParser parser = new ResponseParser();
-                String in = (String) row[0];
-                ByteBuffer body = ByteBuffer.allocate(100);
-                for (int at = 0; at < in.length(); at += fragmentBytes) {
-                    parser.parse(bytes(in.substring(at, Math.min(in.length(), at + fragmentBytes))), body);
-                }
-                assertEquals(in, row[1], parser.head().status());
-                assertEquals(in, row[2], new String(body.array(), 0, body.position(), StandardCharsets.ISO_8859_1));
-                assertEquals(in, row[3], parser.isComplete());
-                assertEquals(in, row[4], parser.head().keepAlive());
-                assertTrue(in, parser.onEndOfInput());
+                assertParsed(response, fragmentBytes);
             }
         }
     }
 
+    private static void assertParsed(ValidResponse expected, int fragmentBytes) throws MalformedResponseException {
+        ResponseParser parser = new ResponseParser();
+        String input = expected.input();
+        ByteBuffer body = ByteBuffer.allocate(100);
+        for (int at = 0; at < input.length(); at += fragmentBytes) {
+            parser.parse(bytes(input.substring(at, Math.min(input.length(), at + fragmentBytes))), body);
+        }
+        assertEquals(input, expected.status(), parser.head().status());
+        assertEquals(input, expected.body(), new String(body.array(), 0, body.position(), StandardCharsets.ISO_8859_1));
+        assertEquals(input, expected.completeBeforeClose(), parser.isComplete());
+        assertEquals(input, expected.keepAlive(), parser.head().keepAlive());
+        assertTrue(input, parser.onEndOfInput());
+    }
+
     @Test
     public void malformedResponsesAreRejected() {
         for (String in : MALFORMED_RESPONSES) {
-            assertThrows(in, IOException.class, () -> new ResponseParser().parse(bytes(in), ByteBuffer.allocate(100)));
+            assertThrows(
+                    in,
+                    MalformedResponseException.class,
+                    () -> new ResponseParser().parse(bytes(in), ByteBuffer.allocate(100)));
         }
     }
 
     /** The stream is good; its connection is not to be used again, or the next request gets the second answer. */
     @Test
-    public void surplusBytesAreReportedAndNotRead() throws IOException {
+    public void surplusBytesAreReportedAndNotRead() throws MalformedResponseException {
         for (String framing :
                 new String[] {"Content-Length: 1\r\n\r\na", "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"}) {
             ResponseParser parser = new ResponseParser();
@@ -121,7 +138,7 @@
     }
 
     @Test
-    public void truncatedResponseIsIncomplete() throws IOException {
+    public void truncatedResponseIsIncomplete() throws MalformedResponseException {
         for (String in : new String[] {
             "",
             "HTTP/1.1 2",
