--- /dev/null
+++ b/node/src/main/java/fawnlb/client/ConnectionCloser.java
@@ -0,0 +1,142 @@
+package fawnlb.client;
+
+import fawnlb.client.ClientConnectionTracker.Limits;
+import fawnlb.eventloop.EventLoopOnly;
+import fawnlb.eventloop.Timers;
+import fawnlb.metrics.Invariant;
+import fawnlb.metrics.Metrics;
+import fawnlb.metrics.Metrics.Metric;
+import org.xnio.ChannelListeners;
+import org.xnio.IoUtils;
+import org.xnio.StreamConnection;
+import org.xnio.conduits.ConduitStreamSourceChannel;
+
+/**
+ * Closes client connections that carry no request: at their timeouts, to make room for others, and at a graceful
+ * shutdown.
+ *
+ * <p>A connection is read once more before it is closed. On a busy processor a request can lie unread for half a
+ * second, and the client that sent it must get a response.
+ */
+@EventLoopOnly
+final class ConnectionCloser {
+    /** A check costs a pass over all connections, so it runs at most 50 times a second. */
+    private static final long MIN_CHECK_INTERVAL_NANOS = 20_000_000;
+    /** A head may begin right after a check, whose next check must not come much later than the head's timeout. */
+    private static final long MAX_CHECK_INTERVAL_NANOS = 250_000_000;
+
+    private final ConnectionTable connections;
+    private final Limits limits;
+    private final Timers timers;
+    private boolean makingRoom;
+
+    ConnectionCloser(ConnectionTable connections, Limits limits, Timers timers) {
+        this.connections = connections;
+        this.limits = limits;
+        this.timers = timers;
+    }
+
+    /**
+     * Starts to close connections at their timeouts. Undertow's own timeouts are not used: they would close a
+     * connection whose request lies unread on a busy processor, and they depend on the wall clock.
+     */
+    void start() {
+        timers.schedule(limits.idleTimeoutNanos(), this::checkTimeouts);
+    }
+
+    private void checkTimeouts() {
+        long headNanos = closeExpired(
+                ConnectionState.READING_HEAD, limits.requestHeadTimeoutNanos(), CloseReason.REQUEST_HEAD_TIMEOUT);
+        long idleNanos = closeExpired(ConnectionState.IDLE, limits.idleTimeoutNanos(), CloseReason.IDLE_TIMEOUT);
+        long closingNanos =
+                closeExpired(ConnectionState.CLOSING, limits.idleTimeoutNanos(), CloseReason.CLOSING_TIMEOUT);
+        long nextNanos = Math.min(headNanos, Math.min(idleNanos, closingNanos));
+        long intervalNanos = Math.max(MIN_CHECK_INTERVAL_NANOS, Math.min(MAX_CHECK_INTERVAL_NANOS, nextNanos));
+        timers.schedule(intervalNanos, this::checkTimeouts);
+    }
+
+    /** Closes the connections whose timeout in a state has passed, and returns when the next one will pass. */
+    private long closeExpired(ConnectionState state, long timeoutNanos, CloseReason reason) {
+        long nowNanos = timers.now();
+        StreamConnection oldest = connections.oldestIn(state);
+        while (oldest != null && nowNanos - connections.get(oldest).sinceNanos() >= timeoutNanos) {
+            closeUnlessRequestPending(oldest, reason);
+            oldest = connections.oldestIn(state);
+        }
+        return oldest == null ? timeoutNanos : connections.get(oldest).sinceNanos() + timeoutNanos - nowNanos;
+    }
+
+    /**
+     * Closes one connection that carries no request, preferably an idle one. Returns false if there is none. Also
+     * returns false if it is called for a request that this method has just found while it read a connection: one pass
+     * over the connections is enough.
+     */
+    boolean tryMakeRoom() {
+        if (makingRoom) {
+            return false;
+        }
+        makingRoom = true;
+        try {
+            return closeOldest(ConnectionState.IDLE)
+                    || closeOldest(ConnectionState.CLOSING)
+                    || closeOldest(ConnectionState.READING_HEAD);
+        } finally {
+            makingRoom = false;
+        }
+    }
+
+    private boolean closeOldest(ConnectionState state) {
+        // Each pass closes the oldest connection, or finds that it has a request and another is the oldest now.
+        for (int remainingChecks = connections.size(); remainingChecks > 0; remainingChecks--) {
+            StreamConnection oldest = connections.oldestIn(state);
+            if (oldest == null) {
+                return false;
+            }
+            if (closeUnlessRequestPending(oldest, CloseReason.CONNECTION_LIMIT)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /**
+     * Closes the connections that are idle or closing, and returns how many are left with a request or a part of one.
+     */
+    int closeAllWithoutRequest() {
+        connections.connections().forEach(this::closeIfIdleOrClosing);
+        return connections.size();
+    }
+
+    private void closeIfIdleOrClosing(StreamConnection connection) {
+        ConnectionTable.Entry entry = connections.get(connection);
+        if (entry != null && (entry.isIn(ConnectionState.IDLE) || entry.isIn(ConnectionState.CLOSING))) {
+            closeUnlessRequestPending(connection, CloseReason.GRACEFUL_SHUTDOWN);
+        }
+    }
+
+    /** Reads a connection once more, and closes it if that brought nothing. Returns whether it is closed. */
+    private boolean closeUnlessRequestPending(StreamConnection connection, CloseReason reason) {
+        ConnectionTable.Entry before = connections.get(connection);
+        if (before == null || before.isIn(ConnectionState.SERVING)) {
+            return false;
+        }
+        ConduitStreamSourceChannel source = connection.getSourceChannel();
+        ChannelListeners.invokeChannelListener(source, source.getReadListener());
+        if (connection.isOpen() && connections.get(connection) != before) {
+            return false;
+        }
+        close(connection, reason);
+        return true;
+    }
+
+    private void close(StreamConnection connection, CloseReason reason) {
+        ConnectionTable.Entry entry = connections.get(connection);
+        Invariant.ANSWERED_BEFORE_CLOSE.check(
+                entry == null || !entry.isIn(ConnectionState.SERVING),
+                connection::toString,
+                "closed for " + reason.label());
+        connections.remove(connection);
+        Metrics.increment(Metric.CLIENT_CONNECTIONS_CLOSED, reason.label());
+        IoUtils.safeClose(connection);
+    }
+}
