--- a/node/src/main/java/fawnlb/config/StartupConfiguration.java
+++ b/node/src/main/java/fawnlb/config/StartupConfiguration.java
@@ -2,7 +2,7 @@
 
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.restore.RestoreSettings;
-import fawnlb.snapshot.SnapshotRecorder;
+import fawnlb.snapshot.WriteIntervals;
 import java.nio.file.Path;
 
 /**
@@ -12,7 +12,7 @@
  */
 public record StartupConfiguration(
         Path snapshotFile,
-        SnapshotRecorder.WriteIntervals snapshotPacing,
+        WriteIntervals snapshotPacing,
         long maxSnapshotAgeNanos,
         boolean isListTrusted,
         RestoreSettings restoreRules) {
@@ -23,7 +23,7 @@
     public static StartupConfiguration defaults(LoadBalancerSettings loadBalancerSettings) {
         return new StartupConfiguration(
                 null,
-                new SnapshotRecorder.WriteIntervals(0, 0),
+                new WriteIntervals(0, 0),
                 7 * MILLIS_PER_DAY * NANOS_PER_MILLI,
                 false,
                 restoreRulesOfMillis(
@@ -42,7 +42,7 @@
             throws ServerConfiguration.ConfigurationException {
         ConfigurationFile settings = new ConfigurationFile(file);
         String snapshotFile = settings.optionalText("snapshot.file");
-        SnapshotRecorder.WriteIntervals snapshotPacing = new SnapshotRecorder.WriteIntervals(
+        WriteIntervals snapshotPacing = new WriteIntervals(
                 settings.readNumber("snapshot.least-interval-ms", 1000, 100, MILLIS_PER_DAY) * NANOS_PER_MILLI,
                 settings.readNumber("snapshot.refresh-ms", 30_000, 100, MILLIS_PER_DAY) * NANOS_PER_MILLI);
         long maxSnapshotAgeNanos =
--- a/node/src/main/java/fawnlb/snapshot/Snapshot.java
+++ b/node/src/main/java/fawnlb/snapshot/Snapshot.java
@@ -4,17 +4,22 @@
 import java.util.List;
 
 /**
- * The list of backends as a node remembers it. {@code savedAtMillis}: when it was written, in milliseconds since the
- * Unix epoch by the wall clock of the node that wrote it; {@code revision}: discovery's, of the last news in it.
+ * The endpoint list as an instance keeps it on disk. Times are milliseconds since the Unix epoch.
+ *
+ * @param savedAtMillis when it was written, by the wall clock of the instance that wrote it
+ * @param revision discovery's revision of the last list in it
  */
 public record Snapshot(long savedAtMillis, long revision, List<Entry> entries) {
 
     /**
-     * A backend: when discovery last named it and when it last answered, in milliseconds since the epoch, 0 for never.
+     * One endpoint.
+     *
+     * @param lastListedAtMillis when discovery last named it; 0 for never
+     * @param lastResponseAtMillis when it last responded to this instance; 0 for never
      */
     public record Entry(DiscoveredEndpoint endpoint, long lastListedAtMillis, long lastResponseAtMillis) {
 
-        /** The last sign that the backend was there, whoever gave it. */
+        /** When there was last a sign that the endpoint was there, from discovery or from itself. */
         public long lastContactAtMillis() {
             return Math.max(lastListedAtMillis, lastResponseAtMillis);
         }
