--- a/node/src/main/java/fawnlb/discovery/EndpointStartTimes.java
+++ b/node/src/main/java/fawnlb/discovery/EndpointStartTimes.java
@@ -5,26 +5,26 @@
 import java.util.Map;
 
 /**
- * When each backend has started, on the node's own clock, which runs on the monotonic one and may have been set wrong
- * by any amount when the node started.
+ * When each endpoint has started, on the instance's clock. That clock is monotonic, but may have been wrong by any
+ * amount when the instance started.
  *
- * <p>Discovery tells starts as times of another clock. They order the starts of one backend; a backend's age is taken
- * from them only as far as nothing refutes it. A start that discovery tells was not there when it last said something,
- * be it an empty line: it lies between that and now. One that would lie in the future, or long before discovery's last
- * word, shows that the clocks differ; then the backend counts as just started, and the difference is remembered for
- * starts that nothing else bounds. Too young is the safe side: such a backend gets less than its part for a moment,
- * while one taken for too old would be overloaded.
+ * <p>Discovery reports starts as times of another clock. They order the starts of one endpoint. An endpoint's age is
+ * taken from them only as far as nothing contradicts it: a start that discovery reports was not there at its last
+ * contact, be it a heartbeat, so it lies between that and now. A reported start in the future, or long before the last
+ * contact, shows that the clocks differ. The endpoint then counts as just started, and the difference is kept for
+ * starts that nothing else bounds. Too young is the safe side: such an endpoint gets less than its share for a moment,
+ * while one that is taken for too old would be overloaded.
  *
- * <p>Times are nanoseconds on the node's clock. All of it belongs to one thread.
+ * <p>Times are nanoseconds on the instance's clock. It belongs to one thread.
  */
 public final class EndpointStartTimes {
     private static final long NANOS_PER_MILLISECOND = 1_000_000;
     private static final long NEVER = Long.MIN_VALUE;
-    /** What discovery tells may be so old, by the operators' page: a start that seems older is refuted. */
+    /** How late discovery may report a start, by the operators' page; one that seems older is contradicted. */
     private static final long MAX_NOTIFICATION_DELAY_NANOS = 6_000_000_000L;
     /**
-     * Backends that are remembered, those that have left included: one that returns without a restart is as old as it
-     * was.
+     * How many endpoints are tracked. They include those that have left: one that returns without a restart is as old
+     * as it was.
      */
     private static final int MAX_TRACKED_ENDPOINTS = 8192;
 
@@ -39,29 +39,40 @@
         }
     };
     private long lastContactAt = NEVER;
-    /** What the clock that backends' starts are told by is ahead of the node's, as far as that is known. */
+    /** How far the clock of the reported starts is ahead of the instance's, as far as it is known. */
     private long clockOffsetNanos;
 
-    /** Takes a list's starts, before {@link #recordContact} is called for it. */
+    /** Takes the starts that a list reports. To be called before {@link #recordContact} for the same list. */
     public void recordStarts(EndpointList list, long now) {
+        raiseClockOffset(list, now);
+        for (DiscoveredEndpoint endpoint : list.endpoints()) {
+            if (hasStartTime(endpoint)) {
+                recordStart(endpoint, now);
+            }
+        }
+    }
+
+    /** A start in the future shows that the reported clock is ahead by more than was known. */
+    private void raiseClockOffset(EndpointList list, long now) {
         long latestStartMillis = list.endpoints().stream()
                 .filter(EndpointStartTimes::hasStartTime)
                 .mapToLong(DiscoveredEndpoint::upSinceMillis)
                 .max()
                 .orElse(0);
-        if (latestStartMillis * NANOS_PER_MILLISECOND - clockOffsetNanos > now) {
-            clockOffsetNanos = latestStartMillis * NANOS_PER_MILLISECOND - now;
+        long latestStartNanos = latestStartMillis * NANOS_PER_MILLISECOND;
+        if (latestStartNanos - clockOffsetNanos > now) {
+            clockOffsetNanos = latestStartNanos - now;
         }
-        for (DiscoveredEndpoint endpoint : list.endpoints()) {
-            StartRecord recorded = startsByEndpoint.get(endpoint.numericId());
-            if (hasStartTime(endpoint) && (recorded == null || recorded.upSinceMillis() < endpoint.upSinceMillis())) {
-                startsByEndpoint.remove(endpoint.numericId());
-                startsByEndpoint.put(
-                        endpoint.numericId(),
-                        new StartRecord(
-                                endpoint.upSinceMillis(),
-                                boundStartTime(endpoint.upSinceMillis() * NANOS_PER_MILLISECOND, now)));
-            }
+    }
+
+    private void recordStart(DiscoveredEndpoint endpoint, long now) {
+        long id = endpoint.numericId();
+        StartRecord recorded = startsByEndpoint.get(id);
+        if (recorded == null || recorded.upSinceMillis() < endpoint.upSinceMillis()) {
+            long startedAt = boundStartTime(endpoint.upSinceMillis() * NANOS_PER_MILLISECOND, now);
+            // Removed first, so that the endpoint counts as the youngest entry.
+            startsByEndpoint.remove(id);
+            startsByEndpoint.put(id, new StartRecord(endpoint.upSinceMillis(), startedAt));
         }
     }
 
@@ -81,12 +92,12 @@
         return Math.max(startedAt, lastContactAt);
     }
 
-    /** Discovery has said something: a list that was taken, or that nothing has changed. */
+    /** Takes note of a list or a heartbeat from discovery. */
     public void recordContact(long now) {
         lastContactAt = now;
     }
 
-    /** When the member started; 0 if long ago. */
+    /** When the endpoint started; 0 if long ago. */
     public long startedAt(DiscoveredEndpoint endpoint) {
         StartRecord start = startsByEndpoint.get(endpoint.numericId());
         return endpoint.upSinceMillis() <= 0 || start == null ? 0 : start.startedAt();
--- a/node/src/main/java/fawnlb/filter/EndpointFilter.java
+++ b/node/src/main/java/fawnlb/filter/EndpointFilter.java
@@ -4,26 +4,40 @@
 import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
 
 /**
- * One step between the list of backends and the decision module: it sees each list as the step before shows it and
- * every other event before the module does, and decides what the next step is to believe of each backend. A view does
- * no I/O and reads no clock; times are nanoseconds on the host's clock, which never goes back.
+ * One step between service discovery and the load balancer. It sees each endpoint list as the step before passes it on,
+ * and every other event before the load balancer does, and decides what the next step is to know of each endpoint.
  *
- * <p>What a view shows on its own account has the kind {@link fawnlb.decision.EndpointUpdateKind#FILTERED}: it changes
- * the named backends alone and says nothing of whether the list is being followed.
+ * <p>An update that a filter makes of its own accord has the kind {@link fawnlb.decision.EndpointUpdateKind#FILTERED}:
+ * it changes the endpoints that it names and says nothing of whether the list is being watched.
+ *
+ * <p>A filter does no I/O and reads no clock. Times are nanoseconds on the instance's clock, which never goes back. All
+ * methods are called on the load balancer's thread.
  */
 public interface EndpointFilter {
-    /** {@link #nextWakeupAt} of a view that waits for nothing. */
+    /** The value of {@link #nextWakeupAt} of a filter that waits for nothing. */
     long NEVER = Long.MAX_VALUE;
 
-    /** A list, as the step before shows it. What the next step sees in its place, null if it sees nothing. */
+    /**
+     * Takes an update of the endpoint list.
+     *
+     * @return the update for the next step; null for none
+     */
     EndpointsUpdated onEndpointsUpdated(long now, EndpointsUpdated update);
 
-    /** Any other event. What the next step is to see because of it, null if nothing. */
+    /**
+     * Takes any other event, which the load balancer sees afterwards in any case.
+     *
+     * @return an update for the next step that the event gives rise to; null for none
+     */
     EndpointsUpdated onEvent(long now, LoadBalancerEvent event);
 
-    /** When this view wants to be woken, {@link #NEVER} if not at all. */
+    /** When {@link #onWakeup} is to be called; {@link #NEVER} if not at all. */
     long nextWakeupAt();
 
-    /** The time of {@link #nextWakeupAt} has come. What the next step is to see because of it, null if nothing. */
+    /**
+     * Called when the time of {@link #nextWakeupAt} has come.
+     *
+     * @return an update for the next step; null for none
+     */
     EndpointsUpdated onWakeup(long now);
 }
--- a/node/src/main/java/fawnlb/filter/EndpointFilterChain.java
+++ b/node/src/main/java/fawnlb/filter/EndpointFilterChain.java
@@ -10,8 +10,9 @@
 import java.util.List;
 
 /**
- * A decision module behind a chain of views: to its host it is the module. Lists pass through every view in turn; other
- * events are shown to each view first, so that a retry is decided by what its failure has taught.
+ * A load balancer behind a chain of filters; to its host the two are one load balancer. An update of the endpoint list
+ * passes through all filters in turn. Any other event is shown to each filter first, so that the load balancer decides
+ * on a retry with what the filters have learned from the failed attempt.
  */
 public final class EndpointFilterChain implements LoadBalancer {
     private final List<EndpointFilter> filters;
@@ -19,7 +20,13 @@
     private final LoadBalancer loadBalancer;
     private final long[] timerDueAt;
 
-    /** Timers of the views have tokens below 0, which no module uses: -1 is the first view's. */
+    /**
+     * Creates the chain and the load balancer behind it.
+     *
+     * @param filters the filters, in the order in which an update passes through them. A timer of theirs has a token
+     *     below 0, which no load balancer uses; the first filter's is -1
+     * @param factory creates the load balancer from the settings, the seed and the sink
+     */
     public EndpointFilterChain(
             List<EndpointFilter> filters,
             Factory factory,
@@ -62,7 +69,10 @@
         }
     }
 
-    /** A timer that comes too early finds nothing to do; one is set anew only where a view wants an earlier one. */
+    /**
+     * Sets a timer for each filter that wants to be woken earlier than its timer is due. A timer that is no longer
+     * wanted is left, since {@link #onEvent} ignores one that comes too early.
+     */
     private void setTimers(long now) {
         for (int filterIndex = 0; filterIndex < timerDueAt.length; filterIndex++) {
             long wakeupAt = filters.get(filterIndex).nextWakeupAt();
--- a/node/src/main/java/fawnlb/membership/SubscriptionSchedule.java
+++ b/node/src/main/java/fawnlb/membership/SubscriptionSchedule.java
@@ -5,55 +5,62 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Decides when a node calls service discovery: it keeps one subscription alive, and spreads the calls of many nodes
- * that lost theirs together. No I/O and no clock; times are nanoseconds of one clock that never goes back. It belongs
- * to one thread.
+ * Decides when an instance calls service discovery. It keeps one watch open, and spreads the calls of many instances
+ * that lost theirs at the same time.
  *
- * <p>What discovery has counts as told after {@link #NOTIFICATION_DEADLINE_NANOS}. A heartbeat that is missed, the
- * pauses below after it and after two calls that are refused at once, and the time of the call that is answered stay
- * within that; so do two calls that are never answered, or one and one that is refused, and their pauses.
+ * <p>A change must be known within {@link #NOTIFICATION_DEADLINE_NANOS}. The limits below are chosen so that these
+ * sequences stay within it: a missed heartbeat and two calls that are refused at once, with the backoff after each and
+ * the time of the call that is answered; two calls that are never answered; one such call and one that is refused.
+ *
+ * <p>It does no I/O and reads no clock: times are nanoseconds of one clock that never goes back. It belongs to one
+ * thread.
  */
 public final class SubscriptionSchedule {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    /** The operators' bound on the time from the moment at which discovery has a change and can be reached. */
+    /**
+     * How soon an instance must know of a change, from when discovery has it and can be reached; the operators demand
+     * it.
+     */
     public static final long NOTIFICATION_DEADLINE_NANOS = 6 * NANOS_PER_SECOND;
     /**
-     * The longest pause between a call that failed and the next one, however many failed; but for calls that had
-     * waited.
+     * The longest backoff after a failed call, however many have failed; a call that was throttled has a longer one.
      */
     public static final long MAX_BACKOFF_NANOS = NANOS_PER_SECOND + NANOS_PER_SECOND / 10;
     /**
-     * The longest pause after a call that had waited for its turn and was refused. At the shorter one all callers of a
-     * large fleet together keep the queue longer than a call may wait, so that nobody is answered any more. It leaves
-     * time for the call that waited (2 s) and for one that is answered within a second.
+     * The longest backoff after a call that was throttled: it queued at the service and was refused. With the shorter
+     * one the calls of a large fleet keep the queue longer than a call may wait, so that no instance is answered any
+     * more. This one leaves time for the call that has queued (2 s) and for one that is answered within a second.
      */
     public static final long MAX_BACKOFF_AFTER_THROTTLE_NANOS = 3 * NANOS_PER_SECOND;
     /**
-     * The longest pause after a call that was never answered. It has taken long enough: two of them in a row, and the
-     * call that is answered then, are to stay within what counts as told.
+     * The longest backoff after a call that was never answered. The call itself has taken long: two of them in a row,
+     * and the one that is answered then, must stay within the notification deadline.
      */
     private static final long MAX_BACKOFF_AFTER_TIMEOUT_NANOS = NANOS_PER_SECOND / 4;
-    /** Each node adds so much to the pause after a call that had waited, up to that. */
+    /** How much each instance of the fleet adds to the longest backoff after a throttled call. */
     private static final long BACKOFF_PER_INSTANCE_NANOS = NANOS_PER_SECOND / 33;
-    /** Nodes that start make their first call within so long, however many they are. */
+    /** The longest delay of the first call after a start, however large the fleet is. */
     private static final long MAX_INITIAL_DELAY_NANOS = 2 * NANOS_PER_SECOND;
     /**
-     * The nodes of a fleet add up to so many calls a second at most, as long as {@link #MAX_BACKOFF_NANOS} allows it:
-     * the first pause is drawn from zero to the time in which all of them make one call at this pace, and later ones
-     * are longer still.
+     * How many calls a second all instances make together at most, as long as {@link #MAX_BACKOFF_NANOS} allows it. The
+     * first backoff is drawn from zero to the time in which each instance makes one call at this rate; later ones are
+     * longer.
      */
     private static final long MAX_FLEET_CALLS_PER_SECOND = 50;
-    /** The pause doubles with each failure, up to this exponent. */
+    /** How often the backoff doubles, once for each failed call. */
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
     /**
-     * Later pauses are this part of the longest one at least: a node calls once a second at most, and its phase is
-     * kept.
+     * The shortest backoff after a failed call, as a fraction of the longest: an instance calls once a second at most,
+     * and instances that called at different times go on doing so.
      */
     private static final double MIN_BACKOFF_FRACTION = 10.0 / 11;
-    /** After a call that had waited the pauses differ more: nodes whose calls came together are to come apart. */
+    /** The same after a throttled call. The range is wider, to spread instances whose calls came together. */
     private static final double MIN_BACKOFF_FRACTION_AFTER_THROTTLE = 0.2;
 
+    /** A base backoff lets so many calls be made before the list becomes too old. */
+    private static final int MIN_CALLS_PER_POLL_DEADLINE = 5;
+
     private final int instanceCount;
     private final long pollDeadlineNanos;
     private final DoubleSupplier random;
@@ -62,10 +69,10 @@
     private int consecutiveFailures;
 
     /**
-     * Creates a schedule that has heard nothing.
+     * Creates a schedule that knows nothing of discovery.
      *
-     * @param instanceCount how many nodes call the same discovery
-     * @param pollDeadlineNanos how old a list may become without a subscription, in nanoseconds
+     * @param instanceCount how many instances call the same discovery
+     * @param pollDeadlineNanos how old a list may become without a watch, in nanoseconds
      * @param random draws from 0 to 1
      */
     public SubscriptionSchedule(int instanceCount, long pollDeadlineNanos, DoubleSupplier random) {
@@ -75,9 +82,9 @@
     }
 
     /**
-     * Notes what was heard of discovery.
+     * Takes what discovery has said, or how a call to it has failed.
      *
-     * @return when to look again whether a call is due; empty while the subscription is alive
+     * @return when to ask {@link #isCallDue}; empty while the watch is open
      */
     public OptionalLong onDiscoveryUpdate(long now, EndpointUpdateKind kind) {
         boolean wasWatching = watching;
@@ -86,39 +93,42 @@
             consecutiveFailures = 0;
             return OptionalLong.empty();
         }
-        // A subscription that is lost is no call that failed: the first one after it may be made at once.
+        // A watch that is lost is not a failed call: the first call after it may be made at once.
         consecutiveFailures += kind.isFailure() && !wasWatching ? 1 : 0;
-        nextCallAt = now
-                + backoffNanos(
-                        maxBackoffNanos(kind),
-                        kind == EndpointUpdateKind.THROTTLED
-                                ? MIN_BACKOFF_FRACTION_AFTER_THROTTLE
-                                : MIN_BACKOFF_FRACTION);
+        nextCallAt = now + drawBackoffNanos(maxBackoffNanos(kind), minBackoffFraction(kind));
         return OptionalLong.of(nextCallAt);
     }
 
     private long maxBackoffNanos(EndpointUpdateKind kind) {
         return switch (kind) {
             case CACHED -> MAX_INITIAL_DELAY_NANOS;
-            case THROTTLED ->
-                Math.max(
-                        MAX_BACKOFF_NANOS,
-                        Math.min(MAX_BACKOFF_AFTER_THROTTLE_NANOS, instanceCount * BACKOFF_PER_INSTANCE_NANOS));
+            case THROTTLED -> maxBackoffAfterThrottleNanos();
             case TIMED_OUT -> MAX_BACKOFF_AFTER_TIMEOUT_NANOS;
             default -> MAX_BACKOFF_NANOS;
         };
     }
 
-    private long backoffNanos(long maxBackoffNanos, double minFraction) {
-        long longestNanos =
-                Math.min(pollDeadlineNanos / 5, instanceCount * (NANOS_PER_SECOND / MAX_FLEET_CALLS_PER_SECOND));
-        longestNanos = Math.min(longestNanos << Math.min(consecutiveFailures, MAX_BACKOFF_DOUBLINGS), maxBackoffNanos);
+    /** It grows with the fleet, whose calls all queue at the same service. */
+    private long maxBackoffAfterThrottleNanos() {
+        long fleetBackoffNanos = Math.min(MAX_BACKOFF_AFTER_THROTTLE_NANOS, instanceCount * BACKOFF_PER_INSTANCE_NANOS);
+        return Math.max(MAX_BACKOFF_NANOS, fleetBackoffNanos);
+    }
+
+    private static double minBackoffFraction(EndpointUpdateKind kind) {
+        return kind == EndpointUpdateKind.THROTTLED ? MIN_BACKOFF_FRACTION_AFTER_THROTTLE : MIN_BACKOFF_FRACTION;
+    }
+
+    private long drawBackoffNanos(long maxBackoffNanos, double minFraction) {
+        long fleetIntervalNanos = instanceCount * (NANOS_PER_SECOND / MAX_FLEET_CALLS_PER_SECOND);
+        long baseNanos = Math.min(pollDeadlineNanos / MIN_CALLS_PER_POLL_DEADLINE, fleetIntervalNanos);
+        long grownNanos = baseNanos << Math.min(consecutiveFailures, MAX_BACKOFF_DOUBLINGS);
+        long longestNanos = Math.min(grownNanos, maxBackoffNanos);
         long shortestNanos = consecutiveFailures > 0 ? (long) (longestNanos * minFraction) : 0;
         return shortestNanos + (long) (random.getAsDouble() * (longestNanos - shortestNanos));
     }
 
     /**
-     * Whether to subscribe now.
+     * Whether to make a call now.
      *
      * @param toleranceNanos how early a timer may come, in nanoseconds
      */
@@ -126,7 +136,11 @@
         return !watching && now + toleranceNanos >= nextCallAt;
     }
 
-    /** Notes that a call was made; when to look again, in case nothing is heard of it. */
+    /**
+     * Takes note that a call was made.
+     *
+     * @return when to ask {@link #isCallDue} again, in case nothing comes of the call
+     */
     public long onCallStarted(long now) {
         nextCallAt = now + pollDeadlineNanos / 2;
         return nextCallAt;
