--- a/node/src/main/java/fawnlb/discovery/DiscoveryCall.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryCall.java
@@ -150,7 +150,7 @@
         if (!closed) {
             close();
             Metrics.increment(Metric.DISCOVERY_CALLS, resultLabel(kind));
-            context.failureLog().logFailure(name + ' ' + reason);
+            context.failureLog().logFailure(name, reason);
             context.receiver().callFailed(kind);
         }
     }
--- a/node/src/main/java/fawnlb/discovery/DiscoveryClient.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryClient.java
@@ -2,6 +2,7 @@
 
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
+import fawnlb.metrics.LogLine;
 import fawnlb.proxy.EndpointWatch;
 import java.net.InetSocketAddress;
 import java.util.logging.Logger;
@@ -56,7 +57,10 @@
     public void changeAddress(InetSocketAddress newAddress) {
         mailbox.tellAlways(() -> {
             if (!newAddress.equals(address)) {
-                LOG.info("discovery moves from " + address + " to " + newAddress);
+                LOG.info(LogLine.event("discovery address changed")
+                        .with("from", address.toString())
+                        .with("to", newAddress.toString())
+                        .toString());
                 address = newAddress;
                 if (activeWatch != null) {
                     reopenWatch();
--- a/node/src/main/java/fawnlb/discovery/DiscoveryFailureLog.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryFailureLog.java
@@ -1,6 +1,7 @@
 package fawnlb.discovery;
 
 import fawnlb.eventloop.Timers;
+import fawnlb.metrics.LogLine;
 import java.util.logging.Logger;
 
 /**
@@ -11,42 +12,57 @@
 final class DiscoveryFailureLog {
     private static final Logger LOG = Logger.getLogger(DiscoveryFailureLog.class.getName());
     private static final long FAILURE_LOG_INTERVAL_NANOS = 10_000_000_000L;
-    private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
     private final Timers timers;
-    private String lastLoggedFailure = "";
+    private Failure lastLogged;
     private long lastLoggedAt;
     private int suppressedFailures;
     private int consecutiveFailures;
     private long failingSince;
 
+    /** What failed, and why; equal ones are limited. */
+    private record Failure(String call, String reason) {}
+
     DiscoveryFailureLog(Timers timers) {
         this.timers = timers;
     }
 
-    /** A call has failed for this reason. */
-    void logFailure(String failure) {
-        failingSince = consecutiveFailures++ == 0 ? timers.now() : failingSince;
-        if (failure.equals(lastLoggedFailure) && timers.now() - lastLoggedAt < FAILURE_LOG_INTERVAL_NANOS) {
+    /**
+     * A call has failed.
+     *
+     * @param call what kind of call
+     */
+    void logFailure(String call, String reason) {
+        long now = timers.now();
+        failingSince = consecutiveFailures++ == 0 ? now : failingSince;
+        Failure failure = new Failure(call, reason);
+        if (failure.equals(lastLogged) && now - lastLoggedAt < FAILURE_LOG_INTERVAL_NANOS) {
             suppressedFailures++;
             return;
         }
-        LOG.info("discovery: " + failure
-                + (suppressedFailures > 0
-                        ? "; " + suppressedFailures + " more calls failed since the last such line"
-                        : ""));
-        lastLoggedFailure = failure;
-        lastLoggedAt = timers.now();
+        LOG.info(line(failure));
+        lastLogged = failure;
+        lastLoggedAt = now;
         suppressedFailures = 0;
     }
 
+    private String line(Failure failure) {
+        LogLine line = LogLine.event("discovery call failed")
+                .with("call", failure.call())
+                .reason(failure.reason());
+        return (suppressedFailures > 0 ? line.with("suppressed", suppressedFailures) : line).toString();
+    }
+
     /** A watch was answered, at this revision: what is received from here on is discovery's present list. */
     void logRecovery(long revision) {
         if (consecutiveFailures > 0) {
-            LOG.info("discovery: answered at revision " + revision + " after " + consecutiveFailures
-                    + " failed calls in " + (timers.now() - failingSince) / NANOS_PER_MILLISECOND + " ms");
+            LOG.info(LogLine.event("discovery answered")
+                    .with("revision", revision)
+                    .with("failed_calls", consecutiveFailures)
+                    .elapsedNanos(timers.now() - failingSince)
+                    .toString());
         }
         consecutiveFailures = 0;
-        lastLoggedFailure = "";
+        lastLogged = null;
     }
 }
--- a/node/src/main/java/fawnlb/discovery/WatchCall.java
+++ b/node/src/main/java/fawnlb/discovery/WatchCall.java
@@ -11,6 +11,8 @@
  * resumes before.
  */
 final class WatchCall extends DiscoveryCall {
+    private static final String NAME = "watch";
+
     private boolean answered;
     private boolean silent;
 
@@ -19,7 +21,7 @@
                 context,
                 address,
                 "/registry/instances?watch=1&from=" + context.receiver().revision(),
-                "watch");
+                NAME);
     }
 
     /** Whether it was neither answered nor has failed. */
@@ -44,7 +46,7 @@
             fail("silent");
         } else if (!isClosed() && !silent) {
             silent = true;
-            context().failureLog().logFailure("watch silent");
+            context().failureLog().logFailure(NAME, "silent");
             context().receiver().callFailed(EndpointUpdateKind.FAILED);
         }
     }
--- a/node/src/main/java/fawnlb/restore/RestoredEndpointFilter.java
+++ b/node/src/main/java/fawnlb/restore/RestoredEndpointFilter.java
@@ -8,6 +8,7 @@
 import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
 import fawnlb.decision.LoadBalancerEvent.ResponseStarted;
 import fawnlb.filter.EndpointFilter;
+import fawnlb.metrics.LogLine;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -91,8 +92,10 @@
         admission.start(now, restoredEndpoints.values());
         admission.admit(now, restoredEndpoints.values());
         if (!restoredEndpoints.isEmpty()) {
-            log.accept("starting from " + restoredEndpoints.size() + " remembered targets, about "
-                    + Math.round(admission.expectedEndpoints()) + " of them expected to be there");
+            log.accept(LogLine.event("starting from restored endpoints")
+                    .with("restored", restoredEndpoints.size())
+                    .with("expected", Math.round(admission.expectedEndpoints()))
+                    .toString());
         }
         return limitRestored(update);
     }
@@ -114,14 +117,15 @@
     private EndpointsUpdated onFullList(long now, EndpointsUpdated update) {
         if (namesNobody(update) && mayHoldEmptyList()) {
             if (!emptyListHold.isActive()) {
-                log.accept("discovery lists no target; the remembered ones stay for "
-                        + emptyListHold.holdNanos() / NANOS_PER_MILLISECOND + " ms");
+                log.accept(LogLine.event("empty list from discovery held")
+                        .with("hold_ms", emptyListHold.holdNanos() / NANOS_PER_MILLISECOND)
+                        .toString());
             }
             emptyListHold.hold(now, update);
             // The call has succeeded, and nothing has changed yet.
             return new EndpointsUpdated(EndpointUpdateKind.DELTA, update.version(), List.of());
         }
-        releaseAll("discovery is back with " + update.endpoints().size() + " targets");
+        releaseAll(releaseLine("whole list").with("listed", update.endpoints().size()));
         return update;
     }
 
@@ -141,7 +145,7 @@
         }
         List<Endpoint> endpoints =
                 emptyListHold.isActive() ? withoutUnnamedEndpoints(update) : withUnnamedEndpoints(update);
-        releaseAll("discovery is back");
+        releaseAll(releaseLine("changes"));
         return new EndpointsUpdated(update.kind(), update.version(), endpoints);
     }
 
@@ -174,12 +178,18 @@
                 .toList();
     }
 
+    /** The reason is what discovery has sent. */
+    private static LogLine releaseLine(String reason) {
+        return LogLine.event("restored endpoints released").reason(reason);
+    }
+
     /** From here on discovery alone says what is there. */
-    private void releaseAll(String reason) {
+    private void releaseAll(LogLine line) {
         if (!discoveryAnswered && !restoredEndpoints.isEmpty()) {
-            log.accept(reason + "; of the remembered " + restoredEndpoints.size() + ", "
-                    + count(RestoredEndpointState.HEALTHY) + " had proved themselves, "
-                    + count(RestoredEndpointState.EJECTED) + " were in doubt");
+            log.accept(line.with("restored", restoredEndpoints.size())
+                    .with("healthy", count(RestoredEndpointState.HEALTHY))
+                    .with("ejected", count(RestoredEndpointState.EJECTED))
+                    .toString());
         }
         discoveryAnswered = true;
         restoredEndpoints.clear();
@@ -234,7 +244,7 @@
         }
         EndpointsUpdated update =
                 new EndpointsUpdated(EndpointUpdateKind.FILTERED, emptyListHold.heldVersion(), restoredAsGone());
-        releaseAll("discovery still lists no target");
+        releaseAll(releaseLine("empty list"));
         return update;
     }
 
--- a/node/src/main/java/fawnlb/snapshot/SnapshotWriter.java
+++ b/node/src/main/java/fawnlb/snapshot/SnapshotWriter.java
@@ -2,6 +2,7 @@
 
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
+import fawnlb.metrics.LogLine;
 import java.io.IOException;
 import java.util.function.LongFunction;
 import java.util.logging.Logger;
@@ -98,10 +99,12 @@
     private void onWriteFinished(String failure) {
         writeInProgress = false;
         if (failure != null && !lastWriteFailed) {
-            LOG.warning("the list is not remembered, trying again every "
-                    + intervals.refreshIntervalNanos() / NANOS_PER_SECOND + " s: " + failure);
+            LOG.warning(LogLine.event("snapshot not written")
+                    .with("retry_s", intervals.refreshIntervalNanos() / NANOS_PER_SECOND)
+                    .reason(failure)
+                    .toString());
         } else if (failure == null && lastWriteFailed) {
-            LOG.info("the list is remembered again");
+            LOG.info(LogLine.event("snapshot written again").toString());
         }
         lastWriteFailed = failure != null;
         long nextWriteAt = lastWriteFailed ? timers.now() + intervals.refreshIntervalNanos() : requestedWriteAt;
