--- a/node/src/main/java/fawnlb/contract/Budget.java
+++ b/node/src/main/java/fawnlb/contract/Budget.java
@@ -1,11 +1,16 @@
 package fawnlb.contract;
 
-/** A team's requests and tokens per window. A window starts with the first request after the one before. */
+/**
+ * A team's limit on requests and tokens per window of time. A window starts with the first request after the end of the
+ * one before. All times are values of one monotonic clock in nanoseconds. Not thread-safe.
+ */
 public final class Budget {
+    private static final long NO_WINDOW = Long.MIN_VALUE;
+
     private final long maxRequests;
     private final long maxTokens;
     private final long windowNanos;
-    private long windowStartNanos = Long.MIN_VALUE;
+    private long windowStartNanos = NO_WINDOW;
     private long usedRequests;
     private long usedTokens;
 
@@ -15,31 +20,48 @@
         this.windowNanos = windowNanos;
     }
 
-    /** Books a request with the tokens that it may take; 0 if it fits, else how long until it may. */
-    public long reserve(long nowNanos, long estimatedTokens) {
-        if (windowStartNanos == Long.MIN_VALUE || nowNanos - windowStartNanos >= windowNanos) {
-            windowStartNanos = nowNanos;
-            usedRequests = 0;
-            usedTokens = 0;
+    /**
+     * The tokens that one request holds in its window until its response has ended.
+     *
+     * @param waitNanos 0 if the request was admitted; otherwise the time until the window ends, and nothing is held
+     */
+    public record Reservation(long reservedAtNanos, long tokens, long waitNanos) {
+        public boolean isGranted() {
+            return waitNanos == 0;
+        }
+    }
+
+    /** Reserves one request and the tokens that it takes at most. */
+    public Reservation reserve(long nowNanos, long tokens) {
+        if (windowStartNanos == NO_WINDOW || nowNanos - windowStartNanos >= windowNanos) {
+            startWindow(nowNanos);
         }
-        if (usedRequests + 1 > maxRequests || usedTokens + estimatedTokens > maxTokens) {
-            return Math.max(1, windowStartNanos + windowNanos - nowNanos);
+        if (usedRequests + 1 > maxRequests || usedTokens + tokens > maxTokens) {
+            return new Reservation(nowNanos, tokens, Math.max(1, windowStartNanos + windowNanos - nowNanos));
         }
         usedRequests++;
-        usedTokens += estimatedTokens;
-        return 0;
+        usedTokens += tokens;
+        return new Reservation(nowNanos, tokens, 0);
+    }
+
+    private void startWindow(long nowNanos) {
+        windowStartNanos = nowNanos;
+        usedRequests = 0;
+        usedTokens = 0;
     }
 
-    /** Whether a request of so many tokens could ever fit. */
-    public boolean fitsWindow(long estimatedTokens) {
-        return maxRequests > 0 && estimatedTokens <= maxTokens;
+    /** Returns whether a request of so many tokens fits into an unused window. */
+    public boolean fitsWindow(long tokens) {
+        return maxRequests > 0 && tokens <= maxTokens;
     }
 
-    /** Corrects a booking made at {@code reservedAtNanos} to the tokens that were taken. */
-    public void settle(long reservedAtNanos, long reservedTokens, long actualTokens) {
-        // A booking of an earlier window went with it.
-        if (reservedAtNanos >= windowStartNanos && windowStartNanos != Long.MIN_VALUE) {
-            usedTokens = Math.max(0, usedTokens + actualTokens - reservedTokens);
+    /**
+     * Replaces a granted reservation's tokens by those that the response used. A reservation of an earlier window is
+     * ignored, since its window's counts are gone.
+     */
+    public void settle(Reservation reservation, long actualTokens) {
+        if (windowStartNanos != NO_WINDOW && reservation.reservedAtNanos() >= windowStartNanos) {
+            usedTokens = Math.max(0, usedTokens + actualTokens - reservation.tokens());
         }
     }
 }
--- a/node/src/main/java/fawnlb/contract/Contract.java
+++ b/node/src/main/java/fawnlb/contract/Contract.java
@@ -1,8 +1,17 @@
 package fawnlb.contract;
 
 import java.util.List;
+import java.util.Optional;
 
-/** What a team may ask for. {@code deadlineNanos}: nanoseconds that an answer may take to begin. */
+/**
+ * What a team may ask for.
+ *
+ * @param key the secret that the team's clients send
+ * @param tenant the tenant of the settings that the team's requests count for, empty for none
+ * @param classes the request classes that the team may use, the first of which is its default
+ * @param models the models that the team may use
+ * @param deadlineNanos the longest time until a response begins
+ */
 public record Contract(
         String team,
         String key,
@@ -12,14 +21,14 @@
         long deadlineNanos,
         Budget budget) {
 
-    /** Why a request is outside the contract, or null if it is inside. */
-    public String violation(String requestClass, String model) {
+    /** Returns why the contract does not allow a request, or nothing if it does. The client reads the text. */
+    public Optional<String> violation(String requestClass, String model) {
         if (!classes.contains(requestClass)) {
-            return "class '" + requestClass + "' is not in this team's contract";
+            return Optional.of("class '" + requestClass + "' is not in this team's contract");
         }
         if (!models.contains(model)) {
-            return "model '" + model + "' is not in this team's contract";
+            return Optional.of("model '" + model + "' is not in this team's contract");
         }
-        return null;
+        return Optional.empty();
     }
 }
--- a/node/src/main/java/fawnlb/contract/Contracts.java
+++ b/node/src/main/java/fawnlb/contract/Contracts.java
@@ -3,11 +3,15 @@
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.util.List;
+import java.util.Optional;
 
-/** All teams' contracts, found by the key that a team sends. */
+/** The contracts of all teams. */
 public record Contracts(List<Contract> teams) {
-    /** The contract, or null. Every key is compared whole, so that the time taken tells nothing of them. */
-    public Contract findByKey(String key) {
+    /**
+     * Returns the contract with a key; the key may be null. Every contract's key is compared in full, so that the time
+     * taken reveals nothing about the keys.
+     */
+    public Optional<Contract> findByKey(String key) {
         Contract found = null;
         byte[] given = key == null ? new byte[0] : key.getBytes(StandardCharsets.UTF_8);
         for (Contract contract : teams) {
@@ -15,6 +19,6 @@
                 found = contract;
             }
         }
-        return found;
+        return Optional.ofNullable(found);
     }
 }
--- a/node/src/main/java/fawnlb/http/InvalidRequestException.java
+++ b/node/src/main/java/fawnlb/http/InvalidRequestException.java
@@ -28,7 +28,7 @@
     }
 
     /** Creates an exception for a fault that a parser reported. */
-    InvalidRequestException(int status, String field, String detail, Throwable cause) {
+    public InvalidRequestException(int status, String field, String detail, Throwable cause) {
         super(detail, cause);
         this.status = status;
         this.field = field;
--- a/node/src/main/java/fawnlb/messages/BrokerHandler.java
+++ b/node/src/main/java/fawnlb/messages/BrokerHandler.java
@@ -1,10 +1,10 @@
 package fawnlb.messages;
 
 import fawnlb.backend.OutboundRequest;
-import fawnlb.client.AffinityKeys;
+import fawnlb.backend.OutboundRequest.ResponseSummary;
 import fawnlb.client.ClientExchange;
-import fawnlb.client.FixedResponse;
 import fawnlb.client.InFlightRequestIds;
+import fawnlb.contract.Budget;
 import fawnlb.contract.Contract;
 import fawnlb.contract.Contracts;
 import fawnlb.decision.LoadBalancerSettings;
@@ -12,38 +12,36 @@
 import fawnlb.eventloop.Timers;
 import fawnlb.http.InvalidRequestException;
 import fawnlb.http.RequestBodyReader;
-import fawnlb.http.RequestHeadValidator;
 import fawnlb.proxy.IncomingRequest;
 import fawnlb.proxy.RequestProxy;
 import fawnlb.translation.CompletionRequest;
 import fawnlb.translation.Dialect;
-import fawnlb.translation.ErrorBody;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
 import io.undertow.util.HttpString;
 import io.undertow.util.Methods;
 import io.undertow.util.StatusCodes;
-import java.util.UUID;
+import java.util.concurrent.TimeUnit;
 
 /**
- * The broker between teams' services: clients of either dialect, under their teams' contracts and budgets, on the same
- * core as the platform's front.
+ * Handles the requests of teams' services. Clients speak either dialect. A request is admitted if a contract has its
+ * key, allows its class and model, and has enough budget; then the proxy forwards it like the platform's requests.
  */
 public final class BrokerHandler implements HttpHandler {
-    private static final HttpString REQUEST_ID = new HttpString("request-id");
+    private static final HttpString RESPONSE_REQUEST_ID = new HttpString("request-id");
     private static final int MAILBOX_CAPACITY = 64;
-    private static final long OVERLOAD_RETRY_AFTER_NANOS = 1_000_000_000;
-    private static final long MAX_CLIENT_DEADLINE_MS = 86_400_000;
+    private static final long OVERLOAD_RETRY_AFTER_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final RequestProxy requestProxy;
     private final RequestBodyReader bodyReader;
     private final InFlightRequestIds inFlightIds;
-    private final LoadBalancerSettings settings;
+    private final BrokerRequestReader requestReader;
     private final Contracts contracts;
     private final Timers timers;
     private final RequestLog requestLog;
 
+    /** The collaborators are shared with other handlers, apart from the contracts and the log. */
     public BrokerHandler(
             RequestProxy requestProxy,
             RequestBodyReader bodyReader,
@@ -55,7 +53,7 @@
         this.requestProxy = requestProxy;
         this.bodyReader = bodyReader;
         this.inFlightIds = inFlightIds;
-        this.settings = settings;
+        this.requestReader = new BrokerRequestReader(settings);
         this.contracts = contracts;
         this.timers = timers;
         this.requestLog = requestLog;
@@ -65,122 +63,94 @@
     public void handleRequest(HttpServerExchange exchange) {
         Dialect dialect = exchange.getRequestPath().equals(Dialect.CHAT.path()) ? Dialect.CHAT : Dialect.MESSAGES;
         if (!exchange.getRequestPath().equals(dialect.path())) {
-            new RejectionWriter(exchange, dialect).reject(StatusCodes.NOT_FOUND, "no such path", 0);
+            reject(exchange, dialect, StatusCodes.NOT_FOUND, "no such path");
         } else if (!exchange.getRequestMethod().equals(Methods.POST)) {
             exchange.getResponseHeaders().put(Headers.ALLOW, "POST");
-            new RejectionWriter(exchange, dialect)
-                    .reject(StatusCodes.METHOD_NOT_ALLOWED, "only POST is served here", 0);
+            reject(exchange, dialect, StatusCodes.METHOD_NOT_ALLOWED, "only POST is served here");
         } else {
             bodyReader.receive(
                     exchange,
-                    (e, body) -> handleBody(e, dialect, body),
-                    (e, status, text) -> new RejectionWriter(e, dialect).reject(status, text, 0));
+                    (completed, body) -> handleBody(completed, dialect, body),
+                    (failed, status, text) -> reject(failed, dialect, status, text));
         }
     }
 
-    /** An answer given before any attempt; it is logged like every other. */
-    private final class RejectionWriter {
-        private final HttpServerExchange exchange;
-        private final RequestRecord record;
-
-        RejectionWriter(HttpServerExchange exchange, Dialect dialect) {
-            this(exchange, new RequestRecord(requestId(exchange), dialect, timers.now()));
-        }
-
-        RejectionWriter(HttpServerExchange exchange, RequestRecord record) {
-            this.exchange = exchange;
-            this.record = record;
-        }
-
-        void reject(int status, String text, long retryAfterNanos) {
-            exchange.getResponseHeaders().put(REQUEST_ID, record.id());
-            new FixedResponse(status, "application/json", ErrorBody.json(record.dialect(), status, text))
-                    .send(exchange, retryAfterNanos);
-            requestLog.write(record, "rejected", status, null, null, timers.now());
+    private void handleBody(HttpServerExchange exchange, Dialect dialect, byte[] body) {
+        RequestRecord record = startRecord(exchange, dialect);
+        try {
+            admit(exchange, record, body);
+        } catch (RequestRejectedException rejection) {
+            reject(exchange, record, rejection);
         }
     }
 
-    private static String requestId(HttpServerExchange exchange) {
-        String given = exchange.getRequestHeaders().getFirst("X-Request-Id");
-        return given != null && given.matches("[!-~]{1,128}")
-                ? given
-                : UUID.randomUUID().toString();
+    private RequestRecord startRecord(HttpServerExchange exchange, Dialect dialect) {
+        return new RequestRecord(BrokerRequestReader.requestId(exchange), dialect, timers.now());
     }
 
-    private void handleBody(HttpServerExchange exchange, Dialect dialect, byte[] body) {
-        RequestRecord record = new RequestRecord(requestId(exchange), dialect, timers.now());
-        RejectionWriter rejection = new RejectionWriter(exchange, record);
-        Contract contract = contracts.findByKey(teamKey(exchange));
-        if (contract == null) {
-            rejection.reject(StatusCodes.UNAUTHORIZED, "no team has this key", 0);
-            return;
-        }
-        record.team(contract.team());
+    private void admit(HttpServerExchange exchange, RequestRecord record, byte[] body) throws RequestRejectedException {
+        Contract contract = authenticate(exchange);
+        record.setTeam(contract.team());
+        ResponseSummary responseSummary = new ResponseSummary(true);
         CompletionRequest completion;
         IncomingRequest request;
-        OutboundRequest.ResponseSummary responseSummary = new OutboundRequest.ResponseSummary(true);
         try {
-            completion = CompletionRequest.decode(dialect, body);
-            request = incomingRequest(exchange, contract, completion, record, responseSummary, body);
-        } catch (CompletionRequest.InvalidCompletionRequestException
-                | InvalidRequestException
-                | IllegalArgumentException e) {
-            rejection.reject(StatusCodes.BAD_REQUEST, e.getMessage(), 0);
-            return;
+            completion = CompletionRequest.decode(record.dialect(), body);
+            record.setClassAndModel(BrokerRequestReader.requestClass(exchange, contract), completion.model());
+            requestReader.checkClassIsServed(record.requestClass(), contract);
+            OutboundRequest outbound =
+                    BrokerRequestReader.outboundRequest(exchange, record, completion, responseSummary, body);
+            request = requestReader.incomingRequest(exchange, contract, record, completion, outbound);
+        } catch (InvalidRequestException e) {
+            throw new RequestRejectedException(e.status(), e.getMessage());
         }
-        long estimatedTokens = completion.promptTokens() + completion.sampling().maxTokens();
-        if (!checkContract(contract, record, completion, estimatedTokens, rejection)) {
-            return;
-        }
-        if (!inFlightIds.tryRegister(record.id(), exchange)) {
-            rejection.reject(StatusCodes.CONFLICT, "X-Request-Id is that of an open request", 0);
-            return;
-        }
-        long reservedAtNanos = timers.now();
-        long waitNanos = contract.budget().reserve(reservedAtNanos, estimatedTokens);
-        if (waitNanos > 0) {
-            rejection.reject(StatusCodes.TOO_MANY_REQUESTS, "the team's budget is used up", waitNanos);
-            return;
-        }
-        exchange.getResponseHeaders().put(REQUEST_ID, record.id());
+        long maxTokens = completion.promptTokens() + completion.sampling().maxTokens();
+        checkContract(contract, record, maxTokens);
+        registerId(exchange, record);
+        ReservedBudget budget = reserve(contract.budget(), maxTokens);
         forward(
                 exchange,
                 request,
-                new BrokerResponseFormatter(
-                        record,
-                        completion.stream(),
-                        responseSummary,
-                        requestLog,
-                        timers,
-                        usedTokens -> contract.budget()
-                                .settle(
-                                        reservedAtNanos,
-                                        estimatedTokens,
-                                        usedTokens < 0 ? estimatedTokens : usedTokens)));
+                new BrokerResponseFormatter(record, completion.stream(), responseSummary, budget, requestLog, timers));
     }
 
-    /** Whether the team's contract allows the request at all; if not, it has been refused. */
-    private static boolean checkContract(
-            Contract contract,
-            RequestRecord record,
-            CompletionRequest completion,
-            long estimatedTokens,
-            RejectionWriter rejection) {
-        String objection = contract.violation(record.requestClass(), completion.model());
-        if (objection != null) {
-            rejection.reject(StatusCodes.FORBIDDEN, objection, 0);
-            return false;
+    private Contract authenticate(HttpServerExchange exchange) throws RequestRejectedException {
+        return contracts
+                .findByKey(BrokerRequestReader.teamKey(exchange))
+                .orElseThrow(() -> new RequestRejectedException(StatusCodes.UNAUTHORIZED, "no team has this key"));
+    }
+
+    private static void checkContract(Contract contract, RequestRecord record, long maxTokens)
+            throws RequestRejectedException {
+        String violation =
+                contract.violation(record.requestClass(), record.model()).orElse(null);
+        if (violation != null) {
+            throw new RequestRejectedException(StatusCodes.FORBIDDEN, violation);
         }
-        if (!contract.budget().fitsWindow(estimatedTokens)) {
-            rejection.reject(StatusCodes.BAD_REQUEST, "the request is larger than the team's whole budget", 0);
-            return false;
+        if (!contract.budget().fitsWindow(maxTokens)) {
+            throw new RequestRejectedException(
+                    StatusCodes.BAD_REQUEST, "the request is larger than the team's whole budget");
         }
-        return true;
     }
 
-    private void forward(HttpServerExchange exchange, IncomingRequest request, BrokerResponseFormatter replies) {
+    private void registerId(HttpServerExchange exchange, RequestRecord record) throws RequestRejectedException {
+        if (!inFlightIds.tryRegister(record.id(), exchange)) {
+            throw new RequestRejectedException(StatusCodes.CONFLICT, "X-Request-Id is that of an open request");
+        }
+    }
+
+    private ReservedBudget reserve(Budget budget, long maxTokens) throws RequestRejectedException {
+        Budget.Reservation reservation = budget.reserve(timers.now(), maxTokens);
+        if (!reservation.isGranted()) {
+            throw RequestRejectedException.budgetExhausted(reservation.waitNanos());
+        }
+        return new ReservedBudget(budget, reservation);
+    }
+
+    private void forward(HttpServerExchange exchange, IncomingRequest request, BrokerResponseFormatter formatter) {
+        exchange.getResponseHeaders().put(RESPONSE_REQUEST_ID, formatter.requestId());
         ClientExchange client =
-                new ClientExchange(exchange, new Mailbox(exchange.getIoThread(), MAILBOX_CAPACITY), replies);
+                new ClientExchange(exchange, new Mailbox(exchange.getIoThread(), MAILBOX_CAPACITY), formatter);
         RequestProxy.RequestHandle handle = requestProxy.submit(request, client);
         if (handle == null) {
             client.sendRejection(null, OVERLOAD_RETRY_AFTER_NANOS);
@@ -189,65 +159,15 @@
         }
     }
 
-    /** The key stands where either dialect puts it. */
-    private static String teamKey(HttpServerExchange exchange) {
-        String key = exchange.getRequestHeaders().getFirst("x-api-key");
-        String bearer = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
-        return key != null
-                ? key
-                : bearer != null && bearer.startsWith("Bearer ")
-                        ? bearer.substring(7).trim()
-                        : null;
-    }
-
-    private IncomingRequest incomingRequest(
-            HttpServerExchange exchange,
-            Contract contract,
-            CompletionRequest completion,
-            RequestRecord record,
-            OutboundRequest.ResponseSummary responseSummary,
-            byte[] body)
-            throws InvalidRequestException {
-        String requestedClass = exchange.getRequestHeaders().getFirst("X-Class");
-        String requestClass = requestedClass == null ? contract.classes().get(0) : requestedClass;
-        record.setClassAndModel(requestClass, completion.model());
-        int classIndex = settings.names().classes().indexOf(requestClass);
-        if (classIndex < 0 && contract.classes().contains(requestClass)) {
-            throw new IllegalArgumentException("class '" + requestClass + "' is not served here");
-        }
-        String query = exchange.getQueryString();
-        OutboundRequest outbound = new OutboundRequest(
-                record.dialect(),
-                record.dialect().path() + (query.isEmpty() ? "" : '?' + query),
-                record.id(),
-                RequestHeadValidator.singleHeader(exchange, OutboundRequest.IDEMPOTENCY_KEY),
-                completion.stream(),
-                body,
-                completion.encode(record.dialect().other()),
-                responseSummary);
-        String session = exchange.getRequestHeaders().getFirst("X-Key");
-        return new IncomingRequest(
-                classIndex,
-                settings.names().tenants().indexOf(contract.tenant()),
-                AffinityKeys.parse(session != null ? session : completion.user()),
-                AffinityKeys.parse(completion.system()),
-                clientDeadlineNanos(exchange, contract),
-                completion.promptTokens(),
-                completion.systemTokens(),
-                completion.sampling().maxTokens(),
-                false,
-                outbound);
+    private void reject(HttpServerExchange exchange, Dialect dialect, int status, String text) {
+        reject(exchange, startRecord(exchange, dialect), new RequestRejectedException(status, text));
     }
 
-    /** The contract's deadline, or the client's own if that is sooner. */
-    private static long clientDeadlineNanos(HttpServerExchange exchange, Contract contract) {
-        String text = exchange.getRequestHeaders().getFirst("X-Deadline-Ms");
-        if (text == null) {
-            return contract.deadlineNanos();
-        }
-        if (!text.matches("[0-9]{1,8}") || Long.parseLong(text) > MAX_CLIENT_DEADLINE_MS) {
-            throw new IllegalArgumentException("X-Deadline-Ms: expected whole milliseconds up to a day");
-        }
-        return Math.min(contract.deadlineNanos(), Long.parseLong(text) * 1_000_000);
+    /** Responds to a request that no attempt is made for; it is logged like any other. */
+    private void reject(HttpServerExchange exchange, RequestRecord record, RequestRejectedException rejection) {
+        exchange.getResponseHeaders().put(RESPONSE_REQUEST_ID, record.id());
+        BrokerResponseFormatter.errorResponse(record, rejection.status(), rejection.getMessage())
+                .send(exchange, rejection.retryAfterNanos());
+        requestLog.write(record, RequestEnd.rejected(rejection.status()), timers.now());
     }
 }
--- /dev/null
+++ b/node/src/main/java/fawnlb/messages/BrokerRequestReader.java
@@ -0,0 +1,132 @@
+package fawnlb.messages;
+
+import fawnlb.backend.OutboundRequest;
+import fawnlb.client.AffinityKeys;
+import fawnlb.contract.Contract;
+import fawnlb.decision.LoadBalancerSettings;
+import fawnlb.http.InvalidRequestException;
+import fawnlb.http.RequestHeadValidator;
+import fawnlb.proxy.IncomingRequest;
+import fawnlb.translation.CompletionRequest;
+import fawnlb.translation.Dialect;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.Headers;
+import io.undertow.util.StatusCodes;
+import java.util.UUID;
+import java.util.concurrent.TimeUnit;
+import java.util.regex.Pattern;
+
+/** Reads what the broker needs from a request's headers. Stateless. */
+final class BrokerRequestReader {
+    private static final String CLASS = "X-Class";
+    private static final String DEADLINE_MS = "X-Deadline-Ms";
+    private static final String SESSION_KEY = "X-Key";
+    private static final String REQUEST_ID = "X-Request-Id";
+    private static final String API_KEY = "x-api-key";
+    private static final String BEARER = "Bearer ";
+    private static final Pattern VALID_REQUEST_ID = Pattern.compile("[!-~]{1,128}");
+    private static final Pattern MILLISECONDS = Pattern.compile("[0-9]{1,8}");
+    private static final long MAX_CLIENT_DEADLINE_MS = TimeUnit.DAYS.toMillis(1);
+
+    private final LoadBalancerSettings settings;
+
+    BrokerRequestReader(LoadBalancerSettings settings) {
+        this.settings = settings;
+    }
+
+    /** Returns the client's id for its request, or a new one if it gave none that can be forwarded. */
+    static String requestId(HttpServerExchange exchange) {
+        String id = exchange.getRequestHeaders().getFirst(REQUEST_ID);
+        return id != null && VALID_REQUEST_ID.matcher(id).matches()
+                ? id
+                : UUID.randomUUID().toString();
+    }
+
+    /** Returns the team's key, which each dialect sends in a header of its own, or null. */
+    static String teamKey(HttpServerExchange exchange) {
+        String key = exchange.getRequestHeaders().getFirst(API_KEY);
+        if (key != null) {
+            return key;
+        }
+        String authorization = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
+        return authorization != null && authorization.startsWith(BEARER)
+                ? authorization.substring(BEARER.length()).trim()
+                : null;
+    }
+
+    /** Returns the class that the request names, or its team's default. */
+    static String requestClass(HttpServerExchange exchange, Contract contract) {
+        String requestClass = exchange.getRequestHeaders().getFirst(CLASS);
+        return requestClass == null ? contract.classes().get(0) : requestClass;
+    }
+
+    /** Rejects a class that the contract allows and the settings don't have; other classes violate the contract. */
+    void checkClassIsServed(String requestClass, Contract contract) throws InvalidRequestException {
+        if (classIndex(requestClass) < 0 && contract.classes().contains(requestClass)) {
+            throw invalidHeader(CLASS, "class '" + requestClass + "' is not served here");
+        }
+    }
+
+    private int classIndex(String requestClass) {
+        return settings.names().classes().indexOf(requestClass);
+    }
+
+    /** Returns the request as it is sent to backends, in the client's dialect and in the other one. */
+    static OutboundRequest outboundRequest(
+            HttpServerExchange exchange,
+            RequestRecord record,
+            CompletionRequest completion,
+            OutboundRequest.ResponseSummary responseSummary,
+            byte[] body)
+            throws InvalidRequestException {
+        Dialect dialect = record.dialect();
+        String query = exchange.getQueryString();
+        return new OutboundRequest(
+                dialect,
+                dialect.path() + (query.isEmpty() ? "" : '?' + query),
+                record.id(),
+                RequestHeadValidator.singleHeader(exchange, OutboundRequest.IDEMPOTENCY_KEY),
+                completion.stream(),
+                body,
+                completion.encode(dialect.other()),
+                responseSummary);
+    }
+
+    /** Returns what the load balancer decides on. */
+    IncomingRequest incomingRequest(
+            HttpServerExchange exchange,
+            Contract contract,
+            RequestRecord record,
+            CompletionRequest completion,
+            OutboundRequest outbound)
+            throws InvalidRequestException {
+        String sessionKey = exchange.getRequestHeaders().getFirst(SESSION_KEY);
+        return new IncomingRequest(
+                classIndex(record.requestClass()),
+                settings.names().tenants().indexOf(contract.tenant()),
+                AffinityKeys.parse(sessionKey != null ? sessionKey : completion.user()),
+                AffinityKeys.parse(completion.system()),
+                timeoutNanos(exchange, contract),
+                completion.promptTokens(),
+                completion.systemTokens(),
+                completion.sampling().maxTokens(),
+                false,
+                outbound);
+    }
+
+    /** Returns the contract's deadline, or the client's own if that is sooner. */
+    private static long timeoutNanos(HttpServerExchange exchange, Contract contract) throws InvalidRequestException {
+        String text = exchange.getRequestHeaders().getFirst(DEADLINE_MS);
+        if (text == null) {
+            return contract.deadlineNanos();
+        }
+        if (!MILLISECONDS.matcher(text).matches() || Long.parseLong(text) > MAX_CLIENT_DEADLINE_MS) {
+            throw invalidHeader(DEADLINE_MS, "X-Deadline-Ms: expected whole milliseconds up to a day");
+        }
+        return Math.min(contract.deadlineNanos(), TimeUnit.MILLISECONDS.toNanos(Long.parseLong(text)));
+    }
+
+    private static InvalidRequestException invalidHeader(String name, String detail) {
+        return new InvalidRequestException(StatusCodes.BAD_REQUEST, name, detail);
+    }
+}
--- a/node/src/main/java/fawnlb/messages/BrokerResponseFormatter.java
+++ b/node/src/main/java/fawnlb/messages/BrokerResponseFormatter.java
@@ -1,6 +1,6 @@
 package fawnlb.messages;
 
-import fawnlb.backend.OutboundRequest;
+import fawnlb.backend.OutboundRequest.ResponseSummary;
 import fawnlb.client.ClientOutcome;
 import fawnlb.client.FixedResponse;
 import fawnlb.client.ResponseFormatter;
@@ -8,36 +8,44 @@
 import fawnlb.stream.AttemptEnd;
 import fawnlb.translation.ErrorBody;
 import io.undertow.util.StatusCodes;
-import java.util.function.LongConsumer;
 
-/** The broker's words for one flow's answers, its record and its budget at the end. */
+/**
+ * Formats the responses to one request of a team in its client's dialect; logs the request and settles its budget at
+ * the end.
+ */
 final class BrokerResponseFormatter implements ResponseFormatter {
+    private static final String EVENT_STREAM = "text/event-stream";
+    private static final String JSON = "application/json";
+
     private final RequestRecord record;
     private final boolean streaming;
-    private final OutboundRequest.ResponseSummary responseSummary;
+    private final ResponseSummary responseSummary;
+    private final ReservedBudget budget;
     private final RequestLog requestLog;
     private final Timers timers;
-    private final LongConsumer budgetSettlement;
 
-    /** Settle: told the tokens that the flow took, below 0 if nobody knows. */
     BrokerResponseFormatter(
             RequestRecord record,
             boolean streaming,
-            OutboundRequest.ResponseSummary responseSummary,
+            ResponseSummary responseSummary,
+            ReservedBudget budget,
             RequestLog requestLog,
-            Timers timers,
-            LongConsumer budgetSettlement) {
+            Timers timers) {
         this.record = record;
         this.streaming = streaming;
         this.responseSummary = responseSummary;
+        this.budget = budget;
         this.requestLog = requestLog;
         this.timers = timers;
-        this.budgetSettlement = budgetSettlement;
+    }
+
+    String requestId() {
+        return record.id();
     }
 
     @Override
     public String backendContentType() {
-        return streaming && responseSummary.status() == StatusCodes.OK ? "text/event-stream" : "application/json";
+        return isStream() ? EVENT_STREAM : JSON;
     }
 
     @Override
@@ -45,40 +53,56 @@
         return responseSummary.status();
     }
 
+    /** A backend's error response is one JSON object, also where the client asked for a stream. */
+    private boolean isStream() {
+        return streaming && responseSummary.status() == StatusCodes.OK;
+    }
+
     @Override
     public FixedResponse formatRejection(AttemptEnd cause) {
-        return errorResponse(
-                StatusCodes.SERVICE_UNAVAILABLE,
-                cause == null
-                        ? "no room at the moment; try again later"
-                        : "not served (" + cause.label() + "); try again later");
+        String text = cause == null
+                ? "no room at the moment; try again later"
+                : "not served (" + cause.label() + "); try again later";
+        return errorResponse(record, StatusCodes.SERVICE_UNAVAILABLE, text);
     }
 
     @Override
     public FixedResponse formatFailure(AttemptEnd cause) {
-        return errorResponse(
-                ResponseFormatter.failureStatus(cause), cause == null ? "failed" : "failed (" + cause.label() + ")");
+        String text = cause == null ? "failed" : "failed (" + cause.label() + ")";
+        return errorResponse(record, ResponseFormatter.failureStatus(cause), text);
     }
 
+    /** Behind the final event there is nothing to add, because the client has its complete response. */
     @Override
     public String formatStreamError(AttemptEnd cause) {
-        // Behind the last event there is nothing to add: the client has its answer.
-        return streaming && responseSummary.status() == StatusCodes.OK && !responseSummary.hasFinished()
-                ? ErrorBody.streamEvent(
-                        record.dialect(), StatusCodes.BAD_GATEWAY, "the answer broke off (" + cause.label() + ")")
-                : "";
+        if (!isStream() || responseSummary.hasFinished()) {
+            return "";
+        }
+        String text = "the answer broke off (" + cause.label() + ")";
+        return ErrorBody.streamEvent(record.dialect(), StatusCodes.BAD_GATEWAY, text);
     }
 
-    private FixedResponse errorResponse(int status, String text) {
-        return new FixedResponse(status, "application/json", ErrorBody.json(record.dialect(), status, text));
+    /** Returns an error in the dialect of the request's client. */
+    static FixedResponse errorResponse(RequestRecord record, int status, String text) {
+        return new FixedResponse(status, JSON, ErrorBody.json(record.dialect(), status, text));
     }
 
     @Override
-    public void onExchangeFinished(ClientOutcome end, int status, AttemptEnd cause) {
-        // Nothing was made for a fixed response; a broken or left stream may have cost all that was booked.
-        boolean rejected = responseSummary.status() != StatusCodes.OK;
-        boolean tokenless = rejected || end == ClientOutcome.REJECTED || end == ClientOutcome.FAILED;
-        budgetSettlement.accept(tokenless ? 0 : responseSummary.tokens() > 0 ? responseSummary.tokens() : -1);
-        requestLog.write(record, rejected ? "rejected" : end.label(), status, cause, responseSummary, timers.now());
+    public void onExchangeFinished(ClientOutcome outcome, int status, AttemptEnd cause) {
+        boolean rejectedByBackend = responseSummary.status() != StatusCodes.OK;
+        settleBudget(rejectedByBackend || outcome == ClientOutcome.REJECTED || outcome == ClientOutcome.FAILED);
+        String word = rejectedByBackend ? RequestEnd.REJECTED : outcome.label();
+        requestLog.write(record, new RequestEnd(word, status, cause, responseSummary), timers.now());
+    }
+
+    /** A response that broke off, or whose client left, may have cost all tokens that were reserved. */
+    private void settleBudget(boolean nothingGenerated) {
+        if (nothingGenerated) {
+            budget.release();
+        } else if (responseSummary.tokens() > 0) {
+            budget.settle(responseSummary.tokens());
+        } else {
+            budget.chargeInFull();
+        }
     }
 }
--- a/node/src/main/java/fawnlb/messages/RequestLog.java
+++ b/node/src/main/java/fawnlb/messages/RequestLog.java
@@ -1,65 +1,72 @@
 package fawnlb.messages;
 
-import fawnlb.backend.OutboundRequest;
-import fawnlb.stream.AttemptEnd;
+import fawnlb.syslog.Severity;
+import fawnlb.syslog.StructuredData;
 import fawnlb.syslog.SyslogFormatter;
 import fawnlb.syslog.SyslogSender;
+import fawnlb.translation.Dialect;
 import java.time.Instant;
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
+import java.util.concurrent.TimeUnit;
 
-/** Writes one record for each flow, if there is a collector to write to. */
+/**
+ * Sends one syslog record for each request, if there is a collector. Collectors match on its message id and field
+ * names.
+ */
 public final class RequestLog {
-    /** 32473 is the enterprise number that RFC 5612 sets aside for examples; a site puts its own here. */
+    /** 32473 is the enterprise number that RFC 5612 reserves for examples; a site uses its own. */
     private static final String STRUCTURED_DATA_ID = "flow@32473";
 
-    private static final int SEVERITY_NOTICE = 5;
-    private static final int SEVERITY_INFORMATIONAL = 6;
+    private static final String MESSAGE_ID = "FLOW";
 
     private final SyslogFormatter formatter;
     private final SyslogSender sender;
 
-    /** Sender: null if there is no collector. */
     public RequestLog(SyslogFormatter formatter, SyslogSender sender) {
         this.formatter = formatter;
         this.sender = sender;
     }
 
-    void write(
-            RequestRecord request,
-            String end,
-            int status,
-            AttemptEnd cause,
-            OutboundRequest.ResponseSummary responseSummary,
-            long nowNanos) {
+    /** Returns a log that writes nothing, for a process without a collector. */
+    public static RequestLog disabled() {
+        return new RequestLog(null, null);
+    }
+
+    void write(RequestRecord request, RequestEnd end, long nowNanos) {
         if (sender == null) {
             return;
         }
-        Map<String, String> data = new LinkedHashMap<>();
-        data.put("id", request.id());
-        data.put("team", request.team());
-        data.put("class", request.requestClass());
-        data.put("model", request.model());
-        data.put("client", request.dialect().name().toLowerCase(Locale.ROOT));
-        if (responseSummary != null && responseSummary.backendDialect() != null) {
-            data.put("target", responseSummary.backendDialect().name().toLowerCase(Locale.ROOT));
-            data.put("skipped", Integer.toString(responseSummary.skippedEvents()));
-            data.put("tokens", Long.toString(responseSummary.tokens()));
+        StructuredData data = new StructuredData(STRUCTURED_DATA_ID, parameters(request, end, nowNanos));
+        Severity severity = end.isServed() ? Severity.INFORMATIONAL : Severity.NOTICE;
+        sender.send(formatter.format(severity, Instant.now(), MESSAGE_ID, data, "flow " + end.outcome()));
+    }
+
+    private Map<String, String> parameters(RequestRecord request, RequestEnd end, long nowNanos) {
+        long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - request.receivedAtNanos());
+        Map<String, String> parameters = new LinkedHashMap<>();
+        parameters.put("id", request.id());
+        parameters.put("team", request.team());
+        parameters.put("class", request.requestClass());
+        parameters.put("model", request.model());
+        parameters.put("client", word(request.dialect()));
+        if (end.response() != null && end.response().backendDialect() != null) {
+            parameters.put("target", word(end.response().backendDialect()));
+            parameters.put("skipped", Integer.toString(end.response().skippedEvents()));
+            parameters.put("tokens", Long.toString(end.response().tokens()));
         }
-        data.put("end", end);
-        if (cause != null) {
-            data.put("cause", cause.label());
+        parameters.put("end", end.outcome());
+        if (end.cause() != null) {
+            parameters.put("cause", end.cause().label());
         }
-        data.put("status", Integer.toString(status));
-        data.put("ms", Long.toString((nowNanos - request.receivedAtNanos()) / 1_000_000));
-        data.put("dropped", Long.toString(sender.droppedRecords()));
-        sender.send(formatter.format(
-                end.equals("served") ? SEVERITY_INFORMATIONAL : SEVERITY_NOTICE,
-                Instant.now(),
-                "FLOW",
-                STRUCTURED_DATA_ID,
-                data,
-                "flow " + end));
+        parameters.put("status", Integer.toString(end.status()));
+        parameters.put("ms", Long.toString(elapsedMillis));
+        parameters.put("dropped", Long.toString(sender.droppedRecords()));
+        return parameters;
+    }
+
+    private static String word(Dialect dialect) {
+        return dialect.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/node/src/main/java/fawnlb/messages/RequestRecord.java
+++ b/node/src/main/java/fawnlb/messages/RequestRecord.java
@@ -2,34 +2,37 @@
 
 import fawnlb.translation.Dialect;
 
-/** What is logged of one flow, filled in as it becomes known. */
+/** What the log says of one request; fields are filled in as they become known. Used on one I/O thread. */
 final class RequestRecord {
+    private static final String UNKNOWN = "-";
+
     private final String id;
     private final Dialect dialect;
     private final long receivedAtNanos;
-    private String team = "-";
-    private String requestClass = "-";
-    private String model = "-";
+    private String team = UNKNOWN;
+    private String requestClass = UNKNOWN;
+    private String model = UNKNOWN;
 
-    RequestRecord(String id, Dialect dialect, long takenAt) {
+    RequestRecord(String id, Dialect dialect, long receivedAtNanos) {
         this.id = id;
         this.dialect = dialect;
-        this.receivedAtNanos = takenAt;
+        this.receivedAtNanos = receivedAtNanos;
     }
 
-    void team(String name) {
-        team = name;
+    void setTeam(String team) {
+        this.team = team;
     }
 
-    void setClassAndModel(String wantedClass, String wantedModel) {
-        requestClass = wantedClass;
-        model = wantedModel;
+    void setClassAndModel(String requestClass, String model) {
+        this.requestClass = requestClass;
+        this.model = model;
     }
 
     String id() {
         return id;
     }
 
+    /** Returns the dialect that the client speaks. */
     Dialect dialect() {
         return dialect;
     }
--- a/node/src/main/java/fawnlb/platform/PlatformHandler.java
+++ b/node/src/main/java/fawnlb/platform/PlatformHandler.java
@@ -103,7 +103,7 @@
                             body,
                             translated,
                             responseSummary));
-        } catch (InvalidRequestException | CompletionRequest.InvalidCompletionRequestException e) {
+        } catch (InvalidRequestException e) {
             sendText(exchange, StatusCodes.BAD_REQUEST, e.getMessage());
             return;
         }
--- a/node/src/main/java/fawnlb/server/Server.java
+++ b/node/src/main/java/fawnlb/server/Server.java
@@ -325,7 +325,7 @@
     private RequestLog createRequestLog(XnioIoThread thread, EventLoopTimers timers) throws IOException {
         MessagesConfiguration.SyslogConfiguration syslog = messages.syslog();
         if (syslog == null) {
-            return new RequestLog(null, null);
+            return RequestLog.disabled();
         }
         return new RequestLog(
                 new SyslogFormatter(
--- a/node/src/main/java/fawnlb/translation/CompletionRequest.java
+++ b/node/src/main/java/fawnlb/translation/CompletionRequest.java
@@ -1,5 +1,6 @@
 package fawnlb.translation;
 
+import fawnlb.http.InvalidRequestException;
 import java.util.List;
 
 /**
@@ -26,26 +27,13 @@
      */
     public record Sampling(long maxTokens, String temperature, String topP, List<String> stopSequences) {}
 
-    /** A client's request that its dialect does not allow, or that can't be translated. */
-    public static final class InvalidCompletionRequestException extends Exception {
-        private static final long serialVersionUID = 1;
-
-        InvalidCompletionRequestException(String message) {
-            super(message);
-        }
-
-        InvalidCompletionRequestException(String message, Throwable cause) {
-            super(message, cause);
-        }
-    }
-
     /**
      * Decodes the body of a client's request.
      *
-     * @throws InvalidCompletionRequestException if the dialect does not allow the request, or if it can't be
-     *     translated; the message tells the client which field is wrong
+     * @throws InvalidRequestException if the dialect does not allow the request, or if it can't be translated; the
+     *     message tells the client which field is wrong
      */
-    public static CompletionRequest decode(Dialect dialect, byte[] body) throws InvalidCompletionRequestException {
+    public static CompletionRequest decode(Dialect dialect, byte[] body) throws InvalidRequestException {
         return CompletionRequestDecoder.decode(dialect, body);
     }
 
--- a/node/src/test/java/fawnlb/config/ConfigurationFilesTest.java
+++ b/node/src/test/java/fawnlb/config/ConfigurationFilesTest.java
@@ -77,7 +77,9 @@
                 "{\"listen\":\"127.0.0.1:1\",\"message-kinds\":[\"x\"],\"syslog\":{\"collector\":\"127.0.0.1:3\","
                         + "\"transport\":\"tcp\"},\"teams\":[" + VALID_TEAM + "]}";
         MessagesConfiguration configuration = MessagesConfiguration.read(writeFile(validFile));
-        assertEquals(5_000_000, configuration.contracts().findByKey("k").deadlineNanos());
+        assertEquals(
+                5_000_000,
+                configuration.contracts().findByKey("k").orElseThrow().deadlineNanos());
         assertTrue(configuration.messagesApiKinds().contains("x")
                 && configuration.syslog().isTcp());
         String[][] cases = {
--- a/node/src/test/java/fawnlb/translation/CompletionRequestTest.java
+++ b/node/src/test/java/fawnlb/translation/CompletionRequestTest.java
@@ -4,7 +4,7 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.translation.CompletionRequest.InvalidCompletionRequestException;
+import fawnlb.http.InvalidRequestException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.Test;
@@ -54,12 +54,12 @@
                     "{\"model\":\"m\",\"max_tokens\":1,\"stream\":7,\"messages\":[{\"role\":\"user\",\"content\":\"\"}]}",
                     "stream"));
 
-    private static CompletionRequest decode(Dialect dialect, String body) throws InvalidCompletionRequestException {
+    private static CompletionRequest decode(Dialect dialect, String body) throws InvalidRequestException {
         return CompletionRequest.decode(dialect, body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    public void requestIsTranslatedBetweenDialects() throws InvalidCompletionRequestException {
+    public void requestIsTranslatedBetweenDialects() throws InvalidRequestException {
         for (Dialect from : Dialect.values()) {
             CompletionRequest request = decode(from, from == Dialect.CHAT ? CHAT : MESSAGES);
 
@@ -72,7 +72,7 @@
     }
 
     @Test
-    public void textPartsAreConcatenated() throws InvalidCompletionRequestException {
+    public void textPartsAreConcatenated() throws InvalidRequestException {
         String body = "{\"model\":\"m\",\"max_tokens\":1,\"system\":[{\"type\":\"text\",\"text\":\"a\"},"
                 + "{\"type\":\"text\",\"text\":\"b\"}],\"messages\":[{\"role\":\"user\",\"content\":\"cdefg\"}]}";
 
@@ -82,7 +82,7 @@
     }
 
     @Test
-    public void promptTokensAreEstimatedFromCharacters() throws InvalidCompletionRequestException {
+    public void promptTokensAreEstimatedFromCharacters() throws InvalidRequestException {
         String body = "{\"model\":\"m\",\"max_tokens\":1,\"system\":\"ab\","
                 + "\"messages\":[{\"role\":\"user\",\"content\":\"cdefg\"}]}";
 
@@ -97,7 +97,7 @@
         for (Invalid invalid : INVALID_REQUESTS) {
             String message = assertThrows(
                             invalid.body(),
-                            InvalidCompletionRequestException.class,
+                            InvalidRequestException.class,
                             () -> decode(invalid.dialect(), invalid.body()))
                     .getMessage();
 
