--- a/node/src/test/java/fawnlb/cli/FakeHttpServer.java
+++ b/node/src/test/java/fawnlb/server/FakeHttpServer.java
@@ -1,4 +1,4 @@
-package fawnlb.cli;
+package fawnlb.server;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
--- a/node/src/test/java/fawnlb/cli/LogWriterTest.java
+++ b/node/src/test/java/fawnlb/server/LogWriterTest.java
@@ -1,9 +1,8 @@
-package fawnlb.cli;
+package fawnlb.server;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.server.LogWriter;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
--- a/node/src/test/java/fawnlb/cli/PackagedServerIT.java
+++ b/node/src/test/java/fawnlb/server/PackagedServerIT.java
@@ -1,12 +1,12 @@
-package fawnlb.cli;
+package fawnlb.server;
 
-import static fawnlb.cli.FakeHttpServer.CHUNKED_ENCODING;
-import static fawnlb.cli.FakeHttpServer.chunk;
-import static fawnlb.cli.FakeHttpServer.responseHead;
-import static fawnlb.cli.FakeHttpServer.write;
-import static fawnlb.cli.ServerProcess.connect;
-import static fawnlb.cli.ServerProcess.sendSignal;
-import static fawnlb.cli.ServerProcess.start;
+import static fawnlb.server.FakeHttpServer.CHUNKED_ENCODING;
+import static fawnlb.server.FakeHttpServer.chunk;
+import static fawnlb.server.FakeHttpServer.responseHead;
+import static fawnlb.server.FakeHttpServer.write;
+import static fawnlb.server.ServerProcess.connect;
+import static fawnlb.server.ServerProcess.sendSignal;
+import static fawnlb.server.ServerProcess.start;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
--- a/node/src/test/java/fawnlb/cli/ReadinessTest.java
+++ b/node/src/test/java/fawnlb/server/ReadinessTest.java
@@ -1,10 +1,10 @@
-package fawnlb.cli;
+package fawnlb.server;
 
-import static fawnlb.cli.FakeHttpServer.CHUNKED_ENCODING;
-import static fawnlb.cli.FakeHttpServer.NO_BODY;
-import static fawnlb.cli.FakeHttpServer.chunk;
-import static fawnlb.cli.FakeHttpServer.responseHead;
-import static fawnlb.cli.FakeHttpServer.write;
+import static fawnlb.server.FakeHttpServer.CHUNKED_ENCODING;
+import static fawnlb.server.FakeHttpServer.NO_BODY;
+import static fawnlb.server.FakeHttpServer.chunk;
+import static fawnlb.server.FakeHttpServer.responseHead;
+import static fawnlb.server.FakeHttpServer.write;
 import static org.junit.Assert.assertTrue;
 
 import java.io.IOException;
--- a/node/src/test/java/fawnlb/cli/RequestProxyingTest.java
+++ b/node/src/test/java/fawnlb/server/RequestProxyingTest.java
@@ -1,12 +1,12 @@
-package fawnlb.cli;
+package fawnlb.server;
 
-import static fawnlb.cli.FakeHttpServer.CHUNKED_ENCODING;
-import static fawnlb.cli.FakeHttpServer.NO_BODY;
-import static fawnlb.cli.FakeHttpServer.chunk;
-import static fawnlb.cli.FakeHttpServer.responseHead;
-import static fawnlb.cli.FakeHttpServer.write;
-import static fawnlb.cli.ServerHarness.chatRequest;
-import static fawnlb.cli.ServerHarness.waitUntil;
+import static fawnlb.server.FakeHttpServer.CHUNKED_ENCODING;
+import static fawnlb.server.FakeHttpServer.NO_BODY;
+import static fawnlb.server.FakeHttpServer.chunk;
+import static fawnlb.server.FakeHttpServer.responseHead;
+import static fawnlb.server.FakeHttpServer.write;
+import static fawnlb.server.ServerHarness.chatRequest;
+import static fawnlb.server.ServerHarness.waitUntil;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
@@ -15,7 +15,6 @@
 import fawnlb.config.ServerConfiguration;
 import fawnlb.config.StartupConfiguration;
 import fawnlb.config.StreamConfiguration;
-import fawnlb.server.Server;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
--- a/node/src/test/java/fawnlb/cli/ServerHarness.java
+++ b/node/src/test/java/fawnlb/server/ServerHarness.java
@@ -1,10 +1,9 @@
-package fawnlb.cli;
+package fawnlb.server;
 
 import fawnlb.config.MessagesConfiguration;
 import fawnlb.config.ServerConfiguration;
 import fawnlb.config.StartupConfiguration;
 import fawnlb.config.StreamConfiguration;
-import fawnlb.server.Server;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/node/src/test/java/fawnlb/cli/ServerProcess.java
+++ b/node/src/test/java/fawnlb/server/ServerProcess.java
@@ -1,4 +1,4 @@
-package fawnlb.cli;
+package fawnlb.server;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
--- a/node/src/test/java/fawnlb/cli/ServerProcessIT.java
+++ b/node/src/test/java/fawnlb/server/ServerProcessIT.java
@@ -1,16 +1,16 @@
-package fawnlb.cli;
+package fawnlb.server;
 
-import static fawnlb.cli.FakeHttpServer.CHUNKED_ENCODING;
-import static fawnlb.cli.FakeHttpServer.chunk;
-import static fawnlb.cli.FakeHttpServer.responseHead;
-import static fawnlb.cli.FakeHttpServer.write;
-import static fawnlb.cli.ServerProcess.connect;
-import static fawnlb.cli.ServerProcess.sendSignal;
+import static fawnlb.server.FakeHttpServer.CHUNKED_ENCODING;
+import static fawnlb.server.FakeHttpServer.chunk;
+import static fawnlb.server.FakeHttpServer.responseHead;
+import static fawnlb.server.FakeHttpServer.write;
+import static fawnlb.server.ServerProcess.connect;
+import static fawnlb.server.ServerProcess.sendSignal;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.cli.ServerProcess.RunningServer;
+import fawnlb.server.ServerProcess.RunningServer;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
