--- a/lab/src/main/java/fawnlb/lab/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/fawnlb/lab/discovery/DiscoveryServer.java
@@ -1,55 +1,54 @@
 package fawnlb.lab.discovery;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonGenerator;
 import fawnlb.decision.EndpointPhase;
 import fawnlb.discovery.DiscoveredEndpoint;
-import fawnlb.discovery.EndpointListCodec;
 import fawnlb.eventloop.Timers;
 import fawnlb.lab.net.HttpExchange;
 import fawnlb.lab.net.HttpRequest;
 import fawnlb.lab.net.HttpServer;
 import fawnlb.lab.rules.RuleChecker;
 import java.io.IOException;
-import java.io.StringWriter;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
+import java.util.Optional;
 import org.xnio.XnioWorker;
 
 /**
- * The roster: the list of boxes, told late. Each node has an address of its own at it, so that what it was told is
- * known. All of it runs on the worker's I/O thread.
+ * An emulated discovery service: endpoint list, watches and heartbeats, with a delay and a limited capacity. Each node
+ * has an address of its own at it, so that the service knows which node it has notified of what. All methods are called
+ * on the worker's I/O thread.
  */
 public final class DiscoveryServer {
     private static final long HEARTBEAT_INTERVAL_NANOS = 2_000_000_000L;
-    /** Changes that are still told as such; who is further behind gets the whole list. */
-    private static final int MAX_CHANGE_HISTORY = 64;
-    /** How long a call takes of the one service that all nodes share, and how long it may wait for its turn. */
+    /** Time that one call occupies the service, which serves all nodes one call after the other. */
     private static final long SERVICE_TIME_NANOS = 5_000_000;
-
+    /** A call that would wait longer than this is rejected. */
     private static final long MAX_QUEUE_WAIT_NANOS = 2_000_000_000L;
-    private static final JsonFactory JSON = new JsonFactory();
+
+    private static final String JSON_HEAD = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
 
     private final Timers timers;
     private final RuleChecker rules;
     private final long notificationDelayNanos;
     private final Map<String, HttpServer> serversByNode = new LinkedHashMap<>();
-    private final Map<String, DiscoveredEndpoint> members = new LinkedHashMap<>();
-    private final TreeMap<Long, List<DiscoveredEndpoint>> changes = new TreeMap<>();
+    private final EndpointHistory history;
     private final List<Watch> watches = new ArrayList<>();
-    private long revision;
     private long idleFrom;
     private boolean available = true;
     private long bytesSent;
 
     private record Watch(String node, HttpExchange exchange) {}
 
-    /** Delay: nanoseconds from a change until it is told. */
+    /**
+     * Starts the service with an empty list.
+     *
+     * @param notificationDelayNanos time from a change until watches are notified, and that each call takes in addition
+     * @throws IOException if a port can't be opened
+     */
     public DiscoveryServer(
             Collection<String> nodes,
             long revision,
@@ -60,58 +59,41 @@
             throws IOException {
         this.timers = timers;
         this.rules = rules;
-        this.revision = revision;
+        this.history = new EndpointHistory(revision);
         this.notificationDelayNanos = notificationDelayNanos;
         for (String node : nodes) {
-            serversByNode.put(
-                    node,
-                    new HttpServer(
-                            worker,
-                            new InetSocketAddress("127.0.0.1", 0),
-                            (request, exchange) -> onRequest(node, request, exchange)));
+            HttpServer.Handler handler = (request, exchange) -> onRequest(node, request, exchange);
+            serversByNode.put(node, new HttpServer(worker, new InetSocketAddress("127.0.0.1", 0), handler));
         }
         sendHeartbeats();
     }
 
-    /** Where this node reaches it. */
+    /** Returns the address of the service for this node. */
     public InetSocketAddress address(String node) {
         return serversByNode.get(node).address();
     }
 
-    /** Boxes have changed; one whose phase is gone leaves the list. */
+    /** Changes the list by these endpoints; one whose phase is GONE is removed. */
     public void applyChanges(DiscoveredEndpoint... changed) {
-        revision++;
-        changes.put(revision, List.of(changed));
-        if (changes.size() > MAX_CHANGE_HISTORY) {
-            changes.pollFirstEntry();
-        }
-        for (DiscoveredEndpoint member : changed) {
-            members.remove(member.id());
-            if (member.phase() != EndpointPhase.GONE) {
-                members.put(member.id(), member);
-            }
-        }
-        long changeRevision = revision;
-        timers.schedule(
-                notificationDelayNanos,
-                () -> sendToWatches(formatList(changeRevision, false, List.of(changed)), List.of(changed)));
+        List<DiscoveredEndpoint> changes = List.of(changed);
+        history.apply(changes);
+        String event = EndpointHistory.formatChanges(history.revision(), changes);
+        timers.schedule(notificationDelayNanos, () -> sendToWatches(event, changes));
     }
 
-    /** Forgets all and counts from another revision, as a service that lost its state. */
+    /** Replaces the list and its revision without notifying watches, as a service that has lost its state. */
     public void replaceList(long newRevision, List<DiscoveredEndpoint> list) {
-        members.clear();
-        changes.clear();
-        revision = newRevision;
-        list.forEach(member -> members.put(member.id(), member));
+        history.replace(newRevision, list);
     }
 
-    /** Goes down: watches end, calls are refused. */
+    /** Ends all watches and refuses connections until {@link #resumeServing}. */
     public void stopServing() {
         available = false;
         watches.clear();
         serversByNode.values().forEach(HttpServer::close);
     }
 
+    /** Accepts calls again at the same addresses. */
     public void resumeServing() throws IOException {
         available = true;
         for (HttpServer server : serversByNode.values()) {
@@ -119,9 +101,9 @@
         }
     }
 
-    /** Ends for good. */
-    public void close() {
-        stopServing();
+    /** Returns how many bytes of lists, changes and heartbeats watches have been sent. */
+    public long bytesSent() {
+        return bytesSent;
     }
 
     private void sendHeartbeats() {
@@ -140,12 +122,13 @@
     }
 
     private void recordNotification(String node, List<DiscoveredEndpoint> changed) {
-        changed.forEach(member -> rules.told(timers.now(), node, member.id(), member.phase() != EndpointPhase.READY));
-    }
-
-    /** Bytes of lists and changes that were told so far. */
-    public long bytesSent() {
-        return bytesSent;
+        for (DiscoveredEndpoint endpoint : changed) {
+            if (endpoint.phase() == EndpointPhase.READY) {
+                rules.onReadyNotified(node, endpoint.id());
+            } else {
+                rules.onDrainNotified(timers.now(), node, endpoint.id());
+            }
+        }
     }
 
     private void writeChunk(HttpExchange exchange, String text) {
@@ -169,45 +152,25 @@
     }
 
     private void respond(String node, HttpRequest request, HttpExchange exchange) {
-        boolean watching = request.path().contains("watch=1");
-        String completeList = formatList(revision, true, members.values());
-        recordNotification(node, List.copyOf(members.values()));
-        if (!watching) {
-            exchange.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
-                    + completeList.length() + "\r\n\r\n" + completeList);
-            return;
-        }
-        long fromRevision = Long.parseLong(request.path().replaceAll(".*from=(\\d+).*", "$1"));
-        exchange.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
-        boolean historyCovers = fromRevision > 0
-                && fromRevision <= revision
-                && (changes.isEmpty() ? fromRevision == revision : fromRevision >= changes.firstKey() - 1);
-        if (historyCovers) {
-            List<DiscoveredEndpoint> changesSince = new ArrayList<>();
-            changes.tailMap(fromRevision, false).values().forEach(changesSince::addAll);
-            recordNotification(node, changesSince);
-            writeChunk(exchange, formatList(revision, false, changesSince));
+        recordNotification(node, history.endpoints());
+        if (request.path().contains("watch=1")) {
+            beginWatch(node, request, exchange);
         } else {
-            writeChunk(exchange, completeList);
+            String list = history.formatComplete();
+            exchange.write(JSON_HEAD + "Content-Length: " + list.length() + "\r\n\r\n" + list);
         }
-        watches.add(new Watch(node, exchange));
     }
 
-    private static String formatList(long revision, boolean complete, Collection<DiscoveredEndpoint> members) {
-        StringWriter text = new StringWriter();
-        try (JsonGenerator out = JSON.createGenerator(text)) {
-            out.writeStartObject();
-            out.writeNumberField("revision", revision);
-            out.writeBooleanField("complete", complete);
-            out.writeArrayFieldStart("members");
-            for (DiscoveredEndpoint member : members) {
-                EndpointListCodec.writeEndpoint(member, out);
-            }
-            out.writeEndArray();
-            out.writeEndObject();
-        } catch (IOException e) {
-            throw new IllegalStateException("a string can always be written", e);
+    private void beginWatch(String node, HttpRequest request, HttpExchange exchange) {
+        long fromRevision = Long.parseLong(request.path().replaceAll(".*from=(\\d+).*", "$1"));
+        exchange.write(JSON_HEAD + "Transfer-Encoding: chunked\r\n\r\n");
+        Optional<List<DiscoveredEndpoint>> changes = history.changesSince(fromRevision);
+        if (changes.isPresent()) {
+            recordNotification(node, changes.get());
+            writeChunk(exchange, EndpointHistory.formatChanges(history.revision(), changes.get()));
+        } else {
+            writeChunk(exchange, history.formatComplete());
         }
-        return text + "\n";
+        watches.add(new Watch(node, exchange));
     }
 }
--- a/lab/src/main/java/fawnlb/lab/engine/EngineServer.java
+++ b/lab/src/main/java/fawnlb/lab/engine/EngineServer.java
@@ -8,141 +8,83 @@
 import fawnlb.lab.rules.RuleChecker;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Function;
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
-import java.util.zip.CRC32C;
 import org.xnio.XnioWorker;
 
-/** A box: an engine behind sockets, with what can go wrong with it. All of it runs on the worker's I/O thread. */
+/**
+ * An emulated backend: an {@link Engine} behind sockets, and the faults that it can show. All methods are called on the
+ * worker's I/O thread; only {@link #address} and {@link #profile} may be called on any thread.
+ */
 public final class EngineServer implements HttpServer.Handler {
-    private static final Pattern MAX_TOKENS_FIELD = Pattern.compile("\"max_tokens\"\\s*:\\s*(\\d{1,6})");
-    private static final Pattern STREAM_FIELD = Pattern.compile("\"stream\"\\s*:\\s*true");
-    /** Tokens in one event. */
-    private static final int TOKENS_PER_EVENT = 4;
-
-    private static final String STREAM_RESPONSE_HEAD =
-            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n" + "Transfer-Encoding: chunked\r\n\r\n";
     private static final String EMPTY_BODY = "Content-Length: 0\r\n\r\n";
 
+    private final EngineSpec spec;
     private final Timers timers;
     private final RuleChecker rules;
-    private final EngineProfile profile;
-    private final ApiFormat apiFormat;
-    private final Engine.SlowStartProfile slowStart;
     private final HttpServer server;
     private String id;
     private Engine engine;
     private boolean draining;
     private boolean unresponsive;
-    private Function<String, Fault> faultSelector = request -> null;
+    private Function<String, Fault> faultSelector = requestId -> null;
     private LongSupplier stepDelayNanos = () -> 0;
     private LongConsumer detectionListener = nanos -> {};
-    private int lastResponseBytes;
-    private int lastHeadBytes;
-    private long lastResponseAt;
-    private int connectionCount;
+    private CompletedResponse lastResponse = CompletedResponse.NONE;
     private final List<Long> cancelledSilencesNanos = new ArrayList<>();
+    private int connectionCount;
 
     /**
-     * What the lab's clients tell of a request in its query: the true length of an answer is known to no one else.
-     * Where a query does not come through, in another dialect, an answer is as long as it may be.
+     * Starts the engine on a free port.
+     *
+     * @throws IOException if the server can't listen
      */
-    private record CompletionRequest(
-            String requestId,
-            long session,
-            long prefix,
-            int promptTokens,
-            int prefixTokens,
-            int outputTokens,
-            int paddingBytes,
-            boolean streaming,
-            long timeoutNanos) {
-        static CompletionRequest of(HttpRequest request) {
-            Map<String, Long> parameters = new HashMap<>();
-            for (String parameter :
-                    request.path().substring(request.path().indexOf('?') + 1).split("&")) {
-                int separator = parameter.indexOf('=');
-                if (separator > 0) {
-                    parameters.put(
-                            parameter.substring(0, separator),
-                            Long.parseUnsignedLong(parameter.substring(separator + 1), 16));
-                }
-            }
-            String body = new String(request.body(), StandardCharsets.UTF_8);
-            Matcher maxTokens = MAX_TOKENS_FIELD.matcher(body);
-            if (!parameters.containsKey("out") && maxTokens.find()) {
-                parameters.put("out", Long.parseLong(maxTokens.group(1)));
-            }
-            return new CompletionRequest(
-                    request.header("x-request-id"),
-                    parameters.getOrDefault("session", 0L),
-                    parameters.getOrDefault("prefix", 0L),
-                    parameters.getOrDefault("prompt", 1L).intValue(),
-                    parameters.getOrDefault("shared", 0L).intValue(),
-                    parameters.getOrDefault("out", 1L).intValue(),
-                    parameters.getOrDefault("pad", 0L).intValue(),
-                    STREAM_FIELD.matcher(body).find(),
-                    request.header("x-deadline-ms").isEmpty()
-                            ? 0
-                            : Long.parseLong(request.header("x-deadline-ms")) * 1_000_000);
-        }
-    }
-
-    public EngineServer(
-            String id,
-            EngineProfile profile,
-            ApiFormat apiFormat,
-            Engine.SlowStartProfile slowStart,
-            long startedAt,
-            XnioWorker worker,
-            Timers timers,
-            RuleChecker rules)
-            throws IOException {
-        this.id = id;
-        this.profile = profile;
-        this.apiFormat = apiFormat;
-        this.slowStart = slowStart;
+    public EngineServer(EngineSpec spec, XnioWorker worker, Timers timers, RuleChecker rules) throws IOException {
+        this.spec = spec;
+        this.id = spec.id();
         this.timers = timers;
         this.rules = rules;
-        this.engine = new Engine(profile, slowStart, startedAt);
+        this.engine = new Engine(spec.profile(), spec.slowStart(), spec.startedAt());
         this.server = new HttpServer(worker, new InetSocketAddress("127.0.0.1", 0), this);
     }
 
+    /** Returns the endpoint id; {@link #replace} changes it. */
     public String id() {
         return id;
     }
 
+    /** Returns what the engine can do. */
     public EngineProfile profile() {
-        return profile;
+        return spec.profile();
     }
 
+    /** Returns where the engine listens, whether or not it is up. */
     public InetSocketAddress address() {
         return server.address();
     }
 
-    /** Whether it was sent so much while it was cold that it fell over. */
+    ApiFormat apiFormat() {
+        return spec.apiFormat();
+    }
+
+    /** Returns whether the engine is down because it received too much work during its slow start. */
     public boolean isCollapsed() {
         return engine.isCollapsed();
     }
 
-    // ---- What can happen to it ------------------------------------------------------------------------
+    // ---- Faults and changes ---------------------------------------------------------------------------
 
-    /** Another box at the same address, cold. */
+    /** Replaces the engine by another one at the same address, which begins its slow start now. */
     public void replace(String newId) {
         id = newId;
-        engine = new Engine(profile, slowStart, timers.now());
+        engine = new Engine(spec.profile(), spec.slowStart(), timers.now());
         server.resetConnections();
     }
 
-    /** The process starts anew, cold and with nothing kept. */
+    /** Restarts the process: the engine comes back with an empty cache and begins its slow start now. */
     public void restart() throws IOException {
         replace(id);
         unresponsive = false;
@@ -150,72 +92,78 @@
         server.resumeListening();
     }
 
-    /** Finishes what it has and turns away all else. */
+    /** Completes the requests in flight and rejects new ones. */
     public void drain() {
         draining = true;
     }
 
-    /** The process is gone: connections are reset, new ones refused. */
+    /** Ends the process: connections are reset and new ones refused. */
     public void crash() {
         server.stopListening();
         server.resetConnections();
     }
 
-    /** Says nothing any more, as a machine that is cut off: open connections stay open, new ones never come up. */
+    /** Cuts the machine off the network: open connections become silent, new ones are never established. */
     public void becomeUnreachable() throws IOException {
         unresponsive = true;
         server.dropNewConnections();
     }
 
+    /** Multiplies the duration of all further steps. */
     public void setSlowdown(double factor) {
         engine.setSlowdown(factor);
     }
 
-    public void close() {
-        server.close();
+    /** Adds to the duration of each step what the supplier returns in nanoseconds. */
+    public void setStepDelay(LongSupplier nanos) {
+        stepDelayNanos = nanos;
     }
 
-    /** What is done to the answers, by the request's id; null for those that are left as they are. */
+    /** Selects the fault of each response by its request id; null for none. */
     public void injectFaults(Function<String, Fault> selector) {
         faultSelector = selector;
     }
 
-    /** Each step takes so many nanoseconds longer than it would. */
-    public void setStepDelay(LongSupplier nanos) {
-        stepDelayNanos = nanos;
-    }
-
-    /** Told how many nanoseconds after a fault struck the other side closed the connection. */
+    /** Sets who is told in how many nanoseconds after an injected fault the node closed the connection. */
     public void setDetectionListener(LongConsumer listener) {
         detectionListener = listener;
     }
 
-    /** Bytes of the last answer that was written to its end, its head included. */
-    public int lastResponseBytes() {
-        return lastResponseBytes;
+    /** Stops listening and resets all connections. */
+    public void close() {
+        server.close();
     }
 
-    /** Of it, the bytes of its head. */
-    public int lastHeadBytes() {
-        return lastHeadBytes;
-    }
+    // ---- Measurements ---------------------------------------------------------------------------------
 
-    /** When that was. */
-    public long lastResponseAt() {
-        return lastResponseAt;
+    /** Returns size and time of the last response that was written to its end. */
+    public CompletedResponse lastResponse() {
+        return lastResponse;
     }
 
-    /** Of answers that had begun and were called off with no fault on them: nanoseconds since their last event. */
+    /** Returns, for each answer that the node cancelled without a fault, the nanoseconds since its last event. */
     public List<Long> cancelledSilencesNanos() {
         return cancelledSilencesNanos;
     }
 
-    /** Connections that were made to it. */
+    /** Returns how many connections the engine has accepted. */
     public int connectionCount() {
         return connectionCount;
     }
 
-    // ---- What it answers ------------------------------------------------------------------------------
+    void onFaultDetected(long elapsedNanos) {
+        detectionListener.accept(elapsedNanos);
+    }
+
+    void onAnswerCancelled(long silenceNanos) {
+        cancelledSilencesNanos.add(silenceNanos);
+    }
+
+    void onAnswerCompleted(CompletedResponse response) {
+        lastResponse = response;
+    }
+
+    // ---- Requests -------------------------------------------------------------------------------------
 
     @Override
     public void onConnected(HttpExchange exchange) {
@@ -234,41 +182,47 @@
             return;
         }
         String path = request.path().split("\\?")[0];
-        if (path.equals(apiFormat.path())) {
-            handleCompletion(CompletionRequest.of(request), exchange);
+        if (path.equals(spec.apiFormat().path())) {
+            handleCompletion(CompletionRequest.parse(request), exchange);
             return;
         }
         switch (path) {
             case "/health/live" -> exchange.write("HTTP/1.1 200 OK\r\n" + EMPTY_BODY);
-            case "/stats" -> {
-                engine.onLoadReportRequested();
-                String report = "TEXT queue=" + engine.queueLength();
-                exchange.write("HTTP/1.1 200 OK\r\nContent-Length: " + report.length() + "\r\n\r\n" + report);
-            }
+            case "/stats" -> writeLoadReport(exchange);
             default -> exchange.write("HTTP/1.1 404 Not Found\r\n" + EMPTY_BODY);
         }
     }
 
+    private void writeLoadReport(HttpExchange exchange) {
+        engine.onLoadReportRequested();
+        String report = "TEXT queue=" + engine.queueLength();
+        exchange.write("HTTP/1.1 200 OK\r\nContent-Length: " + report.length() + "\r\n\r\n" + report);
+    }
+
     private void handleCompletion(CompletionRequest request, HttpExchange exchange) {
         long now = timers.now();
-        rules.onAttemptReceived(now, request.requestId(), id, () -> exchange.isOpen());
-        rules.told(now, request.requestId(), request.timeoutNanos());
-        GeneratedAnswer generated = new GeneratedAnswer(request, exchange);
-        if (draining || !engine.offer(now, generated.sequence)) {
-            rules.onAttemptEnded(timers.now(), request.requestId(), id, false, 0);
-            exchange.write("HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n" + EMPTY_BODY);
-            if (engine.isCollapsed()) {
-                rules.onBackendCollapsed(now, id);
-                crash();
-            }
+        rules.onAttemptReceived(now, request.requestId(), id, exchange::isOpen);
+        rules.onDeadlineForwarded(now, request.requestId(), request.timeoutNanos());
+        GeneratedAnswer answer = new GeneratedAnswer(this, engine, timers, rules, request, exchange);
+        if (draining || !engine.offer(now, answer.sequence())) {
+            reject(request, exchange);
             return;
         }
         rules.onExecutionStarted(request.requestId());
         exchange.injectFault(faultSelector.apply(request.requestId()));
-        exchange.setCloseListener(generated::onConnectionClosed);
+        exchange.setCloseListener(answer::onConnectionClosed);
         runStep(engine);
     }
 
+    private void reject(CompletionRequest request, HttpExchange exchange) {
+        rules.onAttemptCancelled(timers.now(), request.requestId(), id);
+        exchange.write("HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n" + EMPTY_BODY);
+        if (engine.isCollapsed()) {
+            rules.onBackendCollapsed(id);
+            crash();
+        }
+    }
+
     private void runStep(Engine stepping) {
         long endsAt = stepping.beginStep(timers.now());
         if (endsAt >= 0) {
@@ -280,94 +234,4 @@
             });
         }
     }
-
-    /** One answer as it is made. */
-    private final class GeneratedAnswer implements Engine.TokenListener {
-        private final CompletionRequest request;
-        private final HttpExchange exchange;
-        private final Engine servingEngine = engine;
-        private final Engine.Sequence sequence;
-        private final CRC32C checksum = new CRC32C();
-        private final StringBuilder bodyText = new StringBuilder();
-        private boolean finished;
-        private long faultInjectedAt = -1;
-        private long lastWriteAt = -1;
-
-        GeneratedAnswer(CompletionRequest request, HttpExchange exchange) {
-            this.request = request;
-            this.exchange = exchange;
-            this.sequence = new Engine.Sequence(
-                    request.session(),
-                    request.prefix(),
-                    request.promptTokens(),
-                    request.prefixTokens(),
-                    request.outputTokens(),
-                    this);
-        }
-
-        void onConnectionClosed() {
-            if (faultInjectedAt >= 0) {
-                detectionListener.accept(timers.now() - faultInjectedAt);
-            }
-            if (!finished) {
-                finished = true;
-                if (faultInjectedAt < 0 && lastWriteAt >= 0) {
-                    cancelledSilencesNanos.add(timers.now() - lastWriteAt);
-                }
-                servingEngine.cancel(sequence);
-                rules.onAttemptEnded(timers.now(), request.requestId(), id, false, 0);
-            }
-        }
-
-        @Override
-        public void onToken(boolean last) {
-            if (finished) {
-                return;
-            }
-            if (sequence.generatedTokens() > 1 && sequence.generatedTokens() % TOKENS_PER_EVENT != 0 && !last) {
-                return;
-            }
-            String content = id + '.' + sequence.generatedTokens() + ' ' + "x".repeat(request.paddingBytes());
-            if (request.streaming()) {
-                String head = sequence.generatedTokens() == 1 ? STREAM_RESPONSE_HEAD : "";
-                String events =
-                        apiFormat.textEvents(sequence, content, last) + (last ? apiFormat.endEvents(sequence) : "");
-                byte[] bytes = events.getBytes(StandardCharsets.UTF_8);
-                checksum.update(bytes);
-                write(
-                        head + Integer.toHexString(bytes.length) + "\r\n" + events + "\r\n" + (last ? "0\r\n\r\n" : ""),
-                        last);
-            } else {
-                bodyText.append(content);
-                if (last) {
-                    String body = apiFormat.completeBody(sequence, bodyText.toString());
-                    checksum.update(body.getBytes(StandardCharsets.UTF_8));
-                    write(
-                            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
-                                    + "\r\n\r\n" + body,
-                            true);
-                }
-            }
-        }
-
-        private void write(String bytes, boolean last) {
-            finished = last;
-            if (last) {
-                rules.onAttemptEnded(timers.now(), request.requestId(), id, true, checksum.getValue());
-            }
-            exchange.write(bytes);
-            lastWriteAt = timers.now();
-            if (faultInjectedAt < 0 && exchange.isFaultInjected()) {
-                faultInjectedAt = timers.now();
-            }
-            if (last) {
-                lastResponseBytes = exchange.endResponse();
-                lastHeadBytes = request.streaming() ? STREAM_RESPONSE_HEAD.length() : bytes.indexOf("\r\n\r\n") + 4;
-                lastResponseAt = timers.now();
-                if (faultInjectedAt < 0) {
-                    exchange.setCloseListener(() -> {});
-                }
-            }
-        }
-    }
 }
--- a/lab/src/main/java/fawnlb/lab/load/LoadClient.java
+++ b/lab/src/main/java/fawnlb/lab/load/LoadClient.java
@@ -8,90 +8,70 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.Deque;
 import java.util.function.Consumer;
 import org.xnio.XnioIoThread;
 
-/** Asks single requests and tells in full what came back. All runs on one I/O thread. */
+/** Sends single requests to one node and returns their complete responses. Bound to one I/O thread. */
 public final class LoadClient {
-    private static final long CONNECT_TIMEOUT_NANOS = 1_000_000_000;
-
-    private final XnioIoThread thread;
     private final Timers timers;
     private final RuleChecker rules;
-    private final String nodeName;
-    private final InetSocketAddress address;
-    private final Deque<HttpClientConnection> idleConnections = new ArrayDeque<>();
-
-    /** A request: path with query, headers as lines with their ends, and a body. */
-    public record ClientRequest(String id, String path, String headers, String body) {}
+    private final NodeConnections connections;
 
-    /**
-     * What came back. {@code status}: 0 if no head came; {@code complete}: its framing ended as it should;
-     * {@code elapsedNanos}: nanoseconds from the request's last byte to the end.
-     */
-    public record ClientResponse(
-            String id, int status, String retryAfter, String body, boolean complete, long elapsedNanos) {}
-
-    /** Node: the name under which the rule checker knows it. */
-    public LoadClient(XnioIoThread thread, Timers timers, RuleChecker rules, String node, InetSocketAddress address) {
-        this.thread = thread;
+    /** Creates a client of a node; {@code nodeName} is the name by which the rules know it. */
+    public LoadClient(
+            XnioIoThread thread, Timers timers, RuleChecker rules, String nodeName, InetSocketAddress address) {
         this.timers = timers;
         this.rules = rules;
-        this.nodeName = node;
-        this.address = address;
+        this.connections = new NodeConnections(thread, timers, nodeName, address);
     }
 
+    /** Sends a request on an idle connection or a new one. The callback gets the response, whatever has happened. */
     public void send(ClientRequest request, Consumer<ClientResponse> callback) {
-        HttpClientConnection connection = null;
-        while (connection == null && !idleConnections.isEmpty()) {
-            HttpClientConnection idle = idleConnections.pollLast();
-            connection = idle.isUsable() ? idle : null;
-        }
-        if (connection != null) {
-            new PendingRequest(request, callback, true).sendOn(connection);
+        HttpClientConnection idle = connections.pollIdle();
+        if (idle != null) {
+            new PendingRequest(request, callback, idle, true).send();
         } else {
             openAndSend(request, callback);
         }
     }
 
     private void openAndSend(ClientRequest request, Consumer<ClientResponse> callback) {
-        HttpClientConnection.connect(thread, timers, address, CONNECT_TIMEOUT_NANOS, opened -> {
+        connections.open(opened -> {
             if (opened == null) {
-                callback.accept(new ClientResponse(request.id(), 0, "", "", false, 0));
+                callback.accept(ClientResponse.notConnected(request.id()));
             } else {
-                new PendingRequest(request, callback, false).sendOn(opened);
+                new PendingRequest(request, callback, opened, false).send();
             }
         });
     }
 
+    /** A request on its connection, until its response has ended. */
     private final class PendingRequest implements HttpClientConnection.ResponseHandler {
         private final ClientRequest request;
         private final Consumer<ClientResponse> callback;
+        private final HttpClientConnection connection;
         private final boolean reused;
         private final ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
-        private HttpClientConnection connection;
         private ResponseHead responseHead;
         private long sentAt;
 
-        PendingRequest(ClientRequest request, Consumer<ClientResponse> callback, boolean reused) {
+        PendingRequest(
+                ClientRequest request,
+                Consumer<ClientResponse> callback,
+                HttpClientConnection connection,
+                boolean reused) {
             this.request = request;
             this.callback = callback;
+            this.connection = connection;
             this.reused = reused;
         }
 
-        void sendOn(HttpClientConnection target) {
-            connection = target;
+        void send() {
             sentAt = timers.now();
-            rules.onRequestSent(request.id(), nodeName);
-            byte[] content = request.body().getBytes(StandardCharsets.UTF_8);
-            connection.send(
-                    this,
-                    ByteBuffer.wrap(("POST " + request.path() + " HTTP/1.1\r\nHost: lab\r\nX-Request-Id: "
-                                    + request.id() + "\r\n" + request.headers() + "Content-Length: " + content.length
-                                    + "\r\n\r\n" + request.body())
-                            .getBytes(StandardCharsets.UTF_8)));
+            rules.onRequestSent(request.id(), connections.nodeName());
+            PostRequest post = PostRequest.to(request.path()).header("X-Request-Id", request.id());
+            request.headers().forEach(post::header);
+            connection.send(this, ByteBuffer.wrap(post.toBytes(request.body())));
         }
 
         @Override
@@ -110,16 +90,16 @@
         @Override
         public void onComplete(boolean reusable) {
             if (reusable) {
-                idleConnections.addLast(connection);
+                connections.release(connection);
             }
             report(true);
         }
 
         @Override
-        public void onFailure(HttpClientConnection.CallFailure how) {
+        public void onFailure(HttpClientConnection.CallFailure failure) {
             if (responseHead == null && reused) {
-                // The node closed an idle connection as the request crossed it.
-                idleConnections.clear();
+                // The node closed the idle connection while the request was on its way: send it on a new one.
+                connections.discardIdle();
                 openAndSend(request, callback);
             } else {
                 report(false);
--- a/lab/src/main/java/fawnlb/lab/load/SlowReaderClients.java
+++ b/lab/src/main/java/fawnlb/lab/load/SlowReaderClients.java
@@ -6,29 +6,42 @@
 import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
 /**
- * Clients that ask for long answers and don't read them as they come. Their receive buffers are small, so that what
- * they leave unread is soon the node's to hold. They run on a thread of their own.
+ * Clients of one node that request long answers and read them slowly or not at all. Their receive buffers are small, so
+ * that the node soon has to buffer what they leave unread. They read on a thread of their own.
  */
 public final class SlowReaderClients implements AutoCloseable {
+    /** Smaller than one event of the requested answers. */
     private static final int RECEIVE_BUFFER_BYTES = 2048;
+
     private static final long READ_INTERVAL_MILLIS = 1000;
+    /** An intermittent client reads nothing in the first half of each period. */
+    private static final int INTERMITTENT_PERIOD_ROUNDS = 6;
+
+    private static final int INTERMITTENT_READ_BYTES = 8 * RECEIVE_BUFFER_BYTES;
+    private static final int ROUNDS_BEFORE_DISCONNECT = 3;
 
-    /** How a client reads: a byte in each second, nothing at all, nothing for some seconds at a time, or it leaves. */
+    /** How a client reads. */
     public enum ReadPattern {
+        /** One byte a second. */
         ONE_BYTE_PER_SECOND,
+        /** Nothing. */
         STOPPED,
+        /** Nothing for three seconds and much for three seconds, in turn. */
         INTERMITTENT,
+        /** One byte a second for three seconds, and then it disconnects. */
         DISCONNECTING
     }
 
+    private final String nodeName;
+    private final InetSocketAddress address;
+    private final RuleChecker rules;
     private final List<SlowReader> readers = new ArrayList<>();
-    private final Thread thread = new Thread(this::run, "readers");
+    private final Thread thread = new Thread(this::run, "slow-readers");
     private volatile boolean closed;
 
     private static final class SlowReader {
@@ -42,27 +55,33 @@
         }
     }
 
-    /** Asks for one answer of {@code outputTokens} tokens, each event filled up by so many bytes. */
-    public void sendRequest(
-            ReadPattern pattern,
-            InetSocketAddress address,
-            String nodeName,
-            RuleChecker rules,
-            String requestId,
-            int outputTokens,
-            int paddingBytes)
+    /** Creates a group without clients; {@code nodeName} is the name by which the rules know the node. */
+    public SlowReaderClients(String nodeName, InetSocketAddress address, RuleChecker rules) {
+        this.nodeName = nodeName;
+        this.address = address;
+        this.rules = rules;
+    }
+
+    /**
+     * Adds a client and sends its request. To be called before {@link #start}.
+     *
+     * @param outputTokens length of the requested answer
+     * @param paddingBytes bytes by which each event of the answer is enlarged
+     */
+    public void sendRequest(ReadPattern pattern, String requestId, int outputTokens, int paddingBytes)
             throws IOException {
         SocketChannel channel = SocketChannel.open();
         channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
         channel.connect(address);
-        String body = "{\"model\":\"advisor\",\"stream\":true,\"messages\":[]}";
         rules.onRequestSent(requestId, nodeName);
-        ByteBuffer request = ByteBuffer.wrap(("POST /v1/chat/completions?out=" + Integer.toHexString(outputTokens)
-                        + "&pad="
-                        + Integer.toHexString(paddingBytes) + " HTTP/1.1\r\nHost: lab\r\nX-Request-Id: " + requestId
-                        + "\r\nX-Class: advisor-chat\r\nX-Key: "
-                        + requestId + "\r\nX-Deadline-Ms: 7000\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
-                .getBytes(StandardCharsets.ISO_8859_1));
+        String path = "/v1/chat/completions?out=" + Integer.toHexString(outputTokens) + "&pad="
+                + Integer.toHexString(paddingBytes);
+        ByteBuffer request = ByteBuffer.wrap(PostRequest.to(path)
+                .header("X-Request-Id", requestId)
+                .header("X-Class", "advisor-chat")
+                .header("X-Key", requestId)
+                .header("X-Deadline-Ms", 7000)
+                .toBytes("{\"model\":\"advisor\",\"stream\":true,\"messages\":[]}"));
         while (request.hasRemaining()) {
             channel.write(request);
         }
@@ -70,7 +89,7 @@
         readers.add(new SlowReader(pattern, channel));
     }
 
-    /** Begins to read, each in its manner. */
+    /** Starts to read, each client by its pattern. */
     public void start() {
         thread.setDaemon(true);
         thread.start();
@@ -90,17 +109,14 @@
     }
 
     private static void read(SlowReader reader, int round) {
-        int maxBytes = switch (reader.pattern) {
-            case ONE_BYTE_PER_SECOND -> 1;
-            case STOPPED -> 0;
-            case INTERMITTENT -> round % 6 < 3 ? 0 : RECEIVE_BUFFER_BYTES * 8;
-            case DISCONNECTING -> round < 3 ? 1 : -1;
-        };
         try {
-            if (maxBytes < 0) {
+            if (reader.pattern == ReadPattern.DISCONNECTING && round >= ROUNDS_BEFORE_DISCONNECT) {
                 reader.channel.close();
                 reader.ended = true;
-            } else if (maxBytes > 0 && !reader.ended) {
+                return;
+            }
+            int maxBytes = maxBytes(reader.pattern, round);
+            if (maxBytes > 0 && !reader.ended) {
                 reader.ended = reader.channel.read(ByteBuffer.allocate(maxBytes)) < 0;
             }
         } catch (IOException e) {
@@ -108,6 +124,17 @@
         }
     }
 
+    /** Returns how much a client reads in this round. */
+    private static int maxBytes(ReadPattern pattern, int round) {
+        return switch (pattern) {
+            case ONE_BYTE_PER_SECOND, DISCONNECTING -> 1;
+            case STOPPED -> 0;
+            case INTERMITTENT ->
+                round % INTERMITTENT_PERIOD_ROUNDS < INTERMITTENT_PERIOD_ROUNDS / 2 ? 0 : INTERMITTENT_READ_BYTES;
+        };
+    }
+
+    /** Stops reading and closes all connections. */
     @Override
     public void close() throws IOException {
         closed = true;
--- a/lab/src/main/java/fawnlb/lab/rules/RuleChecker.java
+++ b/lab/src/main/java/fawnlb/lab/rules/RuleChecker.java
@@ -10,56 +10,49 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Holds what crossed the sockets against the rules: it hears only what clients, boxes and the roster have sent and
- * received, and nothing from a node. Times are nanoseconds on one clock.
+ * Checks what crossed the sockets against the {@link Rule}s. It is told what clients, backends and the discovery
+ * service have sent and received, and nothing by a node. Times are nanoseconds on one clock. Instances are thread-safe.
  */
 public final class RuleChecker {
-    /** A connection's end and the next attempt travel on two connections: the end may be read a little later. */
+    /**
+     * The end of one attempt and the beginning of the next travel on two connections. The backends may read them in the
+     * opposite order within this time.
+     */
     private static final long EVENT_ORDER_TOLERANCE_NANOS = 50_000_000;
-    /** An attempt that begins so long after its client has closed breaks a rule. */
+    /** Time in which a node has to notice that a client has disconnected. */
     private static final long DISCONNECT_REACTION_NANOS = 100_000_000;
-    /** What a server is told of the time that is left may be so much more than it is. */
+    /** A forwarded deadline is in whole milliseconds and measured later than the client's: it may exceed it so far. */
     private static final long DEADLINE_TOLERANCE_NANOS = 150_000_000;
-    /** Figures of the rules: attempts of a request, and how long after a drain was told work may still come. */
-    private final int maxAttempts;
 
-    private final long drainGraceNanos;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
+    private final int maxAttempts;
+    private final long drainGraceNanos;
     private final Map<String, TrackedRequest> requests = new HashMap<>();
-    private final Map<String, Long> drainNotifiedAt = new HashMap<>();
+    private final Map<Notification, Long> drainNotifiedAt = new HashMap<>();
     private final Set<String> excusedNodes = new HashSet<>();
     private final Map<Rule, List<String>> violations = new TreeMap<>();
 
-    /** The rules, by the names under which they are reported. */
-    public enum Rule {
-        EXACTLY_ONE_RESPONSE,
-        NO_CONCURRENT_ATTEMPTS,
-        ATTEMPT_LIMIT,
-        NO_ATTEMPT_TO_DRAINING_BACKEND,
-        NO_OVERLOAD_IN_SLOW_START,
-        RESPONSE_MATCHES_BACKEND,
-        RESPONSE_BY_DEADLINE,
-        NO_ATTEMPT_AFTER_DISCONNECT,
-        FORWARDED_DEADLINE,
-        NON_IDEMPOTENT_RUNS_ONCE
-    }
+    /** What a node knows of a backend. */
+    private record Notification(String node, String backend) {}
 
     private static final class TrackedRequest {
         final String node;
         long deadlineAt = Long.MAX_VALUE;
         long disconnectedAt = Long.MAX_VALUE;
-        /** It may run once alone, and has been taken by a box. */
         boolean nonIdempotent;
-
+        /** A backend has accepted the request, so that it may have taken effect. */
         boolean executed;
-        /** Its node was killed, or the client has left: nothing more is owed. */
+        /** No response is owed any more: the node was killed or is excused, or the client has disconnected. */
         boolean waived;
 
         int responses;
         int attempts;
         String backend;
         BooleanSupplier connectionOpen;
+        /** When an attempt began while the one before was still connected; negative if none did. */
         long overlapStartedAt = -1;
+
         final List<Long> completedChecksums = new ArrayList<>();
 
         TrackedRequest(String node) {
@@ -67,11 +60,19 @@
         }
     }
 
+    /**
+     * Creates a checker without requests.
+     *
+     * @param maxAttempts attempts that a request may have
+     * @param drainGraceNanos time from the notification of a drain in which attempts may still start at the backend
+     */
     public RuleChecker(int maxAttempts, long drainGraceNanos) {
         this.maxAttempts = maxAttempts;
         this.drainGraceNanos = drainGraceNanos;
     }
 
+    // ---- Clients --------------------------------------------------------------------------------------
+
     /** A client has written the last byte of a request to this node. */
     public synchronized void onRequestSent(String requestId, String node) {
         TrackedRequest request = new TrackedRequest(node);
@@ -79,34 +80,47 @@
         requests.put(requestId, request);
     }
 
-    /** By when the client wants its answer to begin. */
+    /** Sets by when the client wants its response to begin. */
     public synchronized void setDeadline(String requestId, long deadlineAt) {
         requests.get(requestId).deadlineAt = deadlineAt;
     }
 
-    /** The request's class may not be run more than once. */
+    /** Marks a request of a class that must not run twice. */
     public synchronized void markNonIdempotent(String requestId) {
         requests.get(requestId).nonIdempotent = true;
     }
 
-    /** A box has taken the request: its effect may be there from now on. */
-    public synchronized void onExecutionStarted(String requestId) {
+    /** A client has read a complete response of a backend; the checksum covers its events. */
+    public synchronized void onResponseServed(String requestId, long checksum) {
         TrackedRequest request = requests.get(requestId);
-        if (request != null) {
-            request.executed = true;
+        countResponse(requestId, request);
+        if (!request.completedChecksums.contains(checksum)) {
+            recordViolation(Rule.RESPONSE_MATCHES_BACKEND, requestId + " was served what no backend had generated");
+        }
+    }
+
+    /** A client has read a complete error response. */
+    public synchronized void onErrorResponse(String requestId) {
+        countResponse(requestId, requests.get(requestId));
+    }
+
+    private void countResponse(String requestId, TrackedRequest request) {
+        if (++request.responses > 1) {
+            recordViolation(Rule.EXACTLY_ONE_RESPONSE, requestId + " was answered " + request.responses + " times");
         }
     }
 
-    /** A client was told that trying again is harmless. */
+    /** The error response was a rejection, after which a client may repeat any request. */
     public synchronized void onRequestRejected(String requestId) {
         TrackedRequest request = requests.get(requestId);
         if (request.nonIdempotent && request.executed) {
             recordViolation(
-                    Rule.NON_IDEMPOTENT_RUNS_ONCE, requestId + " was refused by " + request.node + " after it had run");
+                    Rule.NON_IDEMPOTENT_RUNS_ONCE,
+                    requestId + " was rejected by " + request.node + " after it had run");
         }
     }
 
-    /** A client has closed its connection before its answer had begun. */
+    /** A client has closed its connection before its response had begun. */
     public synchronized void onClientDisconnected(long now, String requestId) {
         requests.get(requestId).disconnectedAt = now;
         requests.get(requestId).waived = true;
@@ -114,84 +128,107 @@
 
     /** A client has waited for well over its deadline. */
     public synchronized void onDeadlineMissed(String requestId) {
-        if (!requests.get(requestId).waived) {
+        TrackedRequest request = requests.get(requestId);
+        if (!request.waived) {
+            recordViolation(
+                    Rule.RESPONSE_BY_DEADLINE, requestId + " had no answer at its deadline from " + request.node);
+        }
+    }
+
+    /** A client's connection ended without a response, though the client had not disconnected. */
+    public synchronized void onConnectionLost(String requestId) {
+        TrackedRequest request = requests.get(requestId);
+        if (!request.waived) {
             recordViolation(
-                    Rule.RESPONSE_BY_DEADLINE,
-                    requestId + " had no answer at its deadline from " + requests.get(requestId).node);
+                    Rule.EXACTLY_ONE_RESPONSE, requestId + " was read by " + request.node + " and not answered");
         }
     }
 
     /**
-     * While it is on, the node's connections may break for a reason outside of it, and nothing that it takes is owed.
+     * A reused connection was closed after the request was written to it. That is allowed if the node had not read the
+     * request, so that no backend has seen it.
      */
-    public synchronized void setNodeExcused(String node, boolean excused) {
-        if (excused) {
-            excusedNodes.add(node);
-        } else {
-            excusedNodes.remove(node);
+    public synchronized void onIdleConnectionClosed(String requestId) {
+        TrackedRequest request = requests.get(requestId);
+        if (request != null && request.attempts > 0 && !request.waived) {
+            recordViolation(
+                    Rule.EXACTLY_ONE_RESPONSE,
+                    requestId + " was forwarded by " + request.node + ", which then closed its client's connection");
         }
+    }
+
+    // ---- Nodes ----------------------------------------------------------------------------------------
+
+    /**
+     * Begins a time in which the node's connections may break for external reasons. The node owes nothing to requests
+     * that it has or receives in that time.
+     */
+    public synchronized void excuseNode(String node) {
+        excusedNodes.add(node);
         waiveRequestsOf(node);
     }
 
-    private void waiveRequestsOf(String node) {
-        requests.values().stream()
-                .filter(request -> request.node.equals(node))
-                .forEach(request -> request.waived = true);
+    /** Ends that time; requests received in it stay waived. */
+    public synchronized void stopExcusingNode(String node) {
+        excusedNodes.remove(node);
+        waiveRequestsOf(node);
     }
 
-    /** A node was killed outright: what it had taken goes back to its clients. */
+    /** A node was killed: it owes nothing to its requests and knows nothing of earlier notifications. */
     public synchronized void onNodeKilled(String node) {
         waiveRequestsOf(node);
         onNodeRestarted(node);
     }
 
-    /** A client has read a whole answer, or a refusal. Sum: of the events of one that was served, else 0. */
-    public synchronized void onResponseCompleted(String requestId, boolean served, long checksum) {
-        TrackedRequest request = requests.get(requestId);
-        if (++request.responses > 1) {
-            recordViolation(Rule.EXACTLY_ONE_RESPONSE, requestId + " was answered " + request.responses + " times");
-        }
-        if (served && !request.completedChecksums.contains(checksum)) {
-            recordViolation(Rule.RESPONSE_MATCHES_BACKEND, requestId + " was served what no box had made");
-        }
+    /** A node has restarted and knows nothing of earlier notifications. */
+    public synchronized void onNodeRestarted(String node) {
+        drainNotifiedAt.keySet().removeIf(key -> key.node().equals(node));
     }
 
-    /** A client's connection ended with no answer, though it had not left. */
-    public synchronized void onConnectionLost(String requestId) {
-        if (!requests.get(requestId).waived) {
-            recordViolation(
-                    Rule.EXACTLY_ONE_RESPONSE,
-                    requestId + " was taken by " + requests.get(requestId).node + " and not answered");
-        }
+    private void waiveRequestsOf(String node) {
+        requests.values().stream()
+                .filter(request -> request.node.equals(node))
+                .forEach(request -> request.waived = true);
     }
 
-    /**
-     * A kept connection closed with this request on it: allowed where the node had not read it, so that no box has seen
-     * it.
-     */
-    public synchronized void onIdleConnectionClosed(String requestId) {
-        TrackedRequest request = requests.get(requestId);
-        if (request != null && request.attempts > 0 && !request.waived) {
-            recordViolation(
-                    Rule.EXACTLY_ONE_RESPONSE,
-                    requestId + " was sent on by " + request.node + ", which then closed its client's connection");
-        }
+    // ---- Discovery ------------------------------------------------------------------------------------
+
+    /** A node was notified that a backend drains or is gone. */
+    public synchronized void onDrainNotified(long now, String node, String backend) {
+        drainNotifiedAt.putIfAbsent(new Notification(node, backend), now);
+    }
+
+    /** A node was notified that a backend is ready. */
+    public synchronized void onReadyNotified(String node, String backend) {
+        drainNotifiedAt.remove(new Notification(node, backend));
     }
 
-    /** A box has read an attempt; {@code connectionOpen}: whether its connection still is. */
+    // ---- Backends -------------------------------------------------------------------------------------
+
+    /** A backend has read an attempt; the supplier tells whether the attempt's connection is still open. */
     public synchronized void onAttemptReceived(
             long now, String requestId, String backend, BooleanSupplier connectionOpen) {
         TrackedRequest request = requests.get(requestId);
         if (request == null) {
             recordViolation(
-                    Rule.RESPONSE_MATCHES_BACKEND, "a box was asked " + requestId + ", which no client had sent");
+                    Rule.RESPONSE_MATCHES_BACKEND, "a backend received " + requestId + ", which no client had sent");
             return;
         }
+        checkAttempt(now, requestId, request, backend);
+        checkDrain(now, requestId, request, backend);
+        if (request.connectionOpen != null && request.connectionOpen.getAsBoolean()) {
+            request.overlapStartedAt = now;
+        }
+        request.backend = backend;
+        request.connectionOpen = connectionOpen;
+    }
+
+    private void checkAttempt(long now, String requestId, TrackedRequest request, String backend) {
         if (now - DISCONNECT_REACTION_NANOS - EVENT_ORDER_TOLERANCE_NANOS > request.disconnectedAt) {
             recordViolation(
                     Rule.NO_ATTEMPT_AFTER_DISCONNECT,
-                    requestId + " was sent " + (now - request.disconnectedAt) / 1_000_000
-                            + " ms after its client had left");
+                    requestId + " was sent " + millis(now - request.disconnectedAt)
+                            + " ms after its client had disconnected");
         }
         if (request.nonIdempotent && request.executed) {
             recordViolation(
@@ -199,37 +236,56 @@
                     requestId + " was sent to " + backend + " after it had run at " + request.backend);
         }
         if (++request.attempts > maxAttempts) {
-            recordViolation(Rule.ATTEMPT_LIMIT, requestId + " was tried " + request.attempts + " times");
+            recordViolation(Rule.ATTEMPT_LIMIT, requestId + " had " + request.attempts + " attempts");
         }
-        Long notifiedAt = drainNotifiedAt.get(request.node + ' ' + backend);
+    }
+
+    private void checkDrain(long now, String requestId, TrackedRequest request, String backend) {
+        Long notifiedAt = drainNotifiedAt.get(new Notification(request.node, backend));
         if (notifiedAt != null && now > notifiedAt + drainGraceNanos + EVENT_ORDER_TOLERANCE_NANOS) {
             recordViolation(
                     Rule.NO_ATTEMPT_TO_DRAINING_BACKEND,
-                    requestId + " went to " + backend + " " + (now - notifiedAt) / 1_000_000 + " ms after it was told");
+                    requestId + " went to " + backend + " " + millis(now - notifiedAt)
+                            + " ms after the node was notified of its drain");
         }
-        if (request.connectionOpen != null && request.connectionOpen.getAsBoolean()) {
-            request.overlapStartedAt = now;
-        }
-        request.backend = backend;
-        request.connectionOpen = connectionOpen;
     }
 
-    /** A box was told that its answer may take so long to begin. */
-    public synchronized void told(long now, String requestId, long timeoutNanos) {
+    /** An attempt carried this time as what its client has left. */
+    public synchronized void onDeadlineForwarded(long now, String requestId, long timeoutNanos) {
         TrackedRequest request = requests.get(requestId);
         if (request != null
                 && request.deadlineAt != Long.MAX_VALUE
                 && now + timeoutNanos > request.deadlineAt + DEADLINE_TOLERANCE_NANOS) {
             recordViolation(
                     Rule.FORWARDED_DEADLINE,
-                    requestId + " was told " + (now + timeoutNanos - request.deadlineAt) / 1_000_000
+                    requestId + " was forwarded with " + millis(now + timeoutNanos - request.deadlineAt)
                             + " ms more than its client has");
         }
     }
 
-    /** An attempt is over at its box. Whole: all of it was written, with this sum. */
-    public synchronized void onAttemptEnded(
-            long now, String requestId, String backend, boolean complete, long checksum) {
+    /** A backend has accepted the request, so that it may take effect from now on. */
+    public synchronized void onExecutionStarted(String requestId) {
+        TrackedRequest request = requests.get(requestId);
+        if (request != null) {
+            request.executed = true;
+        }
+    }
+
+    /** A backend has written a complete response with this checksum. */
+    public synchronized void onAttemptCompleted(long now, String requestId, String backend, long checksum) {
+        endAttempt(now, requestId, backend);
+        TrackedRequest request = requests.get(requestId);
+        if (request != null) {
+            request.completedChecksums.add(checksum);
+        }
+    }
+
+    /** An attempt ended at its backend without a complete response. */
+    public synchronized void onAttemptCancelled(long now, String requestId, String backend) {
+        endAttempt(now, requestId, backend);
+    }
+
+    private void endAttempt(long now, String requestId, String backend) {
         TrackedRequest request = requests.get(requestId);
         if (request == null) {
             return;
@@ -237,46 +293,41 @@
         if (request.overlapStartedAt >= 0 && now - request.overlapStartedAt > EVENT_ORDER_TOLERANCE_NANOS) {
             recordViolation(
                     Rule.NO_CONCURRENT_ATTEMPTS,
-                    requestId + " was at two boxes for " + (now - request.overlapStartedAt) / 1_000_000 + " ms");
+                    requestId + " was at two backends for " + millis(now - request.overlapStartedAt) + " ms");
         }
         request.overlapStartedAt = -1;
         if (backend.equals(request.backend)) {
             request.connectionOpen = null;
         }
-        if (complete) {
-            request.completedChecksums.add(checksum);
-        }
     }
 
-    /** A node was told that a box drains or is gone, or is listed again. */
-    public synchronized void told(long now, String node, String backend, boolean leaving) {
-        if (leaving) {
-            drainNotifiedAt.putIfAbsent(node + ' ' + backend, now);
-        } else {
-            drainNotifiedAt.remove(node + ' ' + backend);
-        }
+    /** A backend in its slow start has collapsed under the work that it received. */
+    public synchronized void onBackendCollapsed(String backend) {
+        recordViolation(Rule.NO_OVERLOAD_IN_SLOW_START, backend + " collapsed");
     }
 
-    /** A node has started anew: it knows nothing of what was told before. */
-    public synchronized void onNodeRestarted(String node) {
-        drainNotifiedAt.keySet().removeIf(key -> key.startsWith(node + ' '));
+    private void recordViolation(Rule rule, String description) {
+        violations.computeIfAbsent(rule, key -> new ArrayList<>()).add(description);
     }
 
-    /** A cold box was pushed over. */
-    public synchronized void onBackendCollapsed(long now, String backend) {
-        recordViolation(Rule.NO_OVERLOAD_IN_SLOW_START, backend + " fell over");
+    private static long millis(long nanos) {
+        return nanos / NANOS_PER_MILLI;
     }
 
-    private void recordViolation(Rule rule, String description) {
-        violations.computeIfAbsent(rule, key -> new ArrayList<>()).add(description);
-    }
+    // ---- Results --------------------------------------------------------------------------------------
 
-    /** How often each rule was broken, with the first case of each. */
+    /** Returns the descriptions of all violations by rule; a rule that was kept is absent. */
     public synchronized Map<Rule, List<String>> violations() {
         return new TreeMap<>(violations);
     }
 
+    /** Returns how often this rule was violated. */
     public synchronized int violationCount(Rule rule) {
         return violations.getOrDefault(rule, List.of()).size();
     }
+
+    /** Returns how often all rules together were violated. */
+    public synchronized int violationCount() {
+        return violations.values().stream().mapToInt(List::size).sum();
+    }
 }
--- a/lab/src/main/java/fawnlb/lab/scenario/FleetSize.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/FleetSize.java
@@ -6,31 +6,39 @@
 import fawnlb.lab.engine.EngineProfile;
 import fawnlb.lab.engine.EngineServer;
 import fawnlb.lab.load.ArrivalPlan;
-import fawnlb.lab.load.LoadGenerator;
+import fawnlb.lab.load.LoadStatistics;
+import fawnlb.lab.load.TurnOutcome;
 import fawnlb.lab.node.NodeProcess;
+import fawnlb.lab.testbed.EmulatedEndpoints;
+import fawnlb.lab.testbed.Testbed;
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 import org.apache.commons.math3.random.RandomGenerator;
 import org.apache.commons.math3.random.Well19937c;
-import org.apache.commons.math3.stat.StatUtils;
 
 /**
- * One node before few servers and before many, in turn, with the same traffic: a whole list, then one change of two
- * members each 0.2 s. What the node needs may grow only so far. A few sockets stand for all servers, each under many
- * names.
+ * One node with few servers and with many, in turn, with the same traffic: a complete list, then a change of two
+ * endpoints each 0.2 s. What the node needs may grow only so far. A few listening servers stand for all servers, each
+ * under many endpoint ids.
  */
 public final class FleetSize implements Scenario {
-    private static final int SMALL_FLEET = 200;
-    private static final int LARGE_FLEET = 3200;
+    /** Numbers of servers of the two fleets. */
+    public static final int SMALL_FLEET = 200;
+
+    public static final int LARGE_FLEET = 3200;
+
     private static final int LISTENING_SERVERS = 40;
     private static final long CHANGE_INTERVAL_NANOS = 200_000_000;
     private static final double REQUESTS_PER_SECOND = 20;
     private static final double BYTES_PER_MEGABYTE = 1 << 20;
-    private static final EngineProfile PROFILE =
-            new EngineProfile("full-rate", 200, 200, 10_000_000, 8192, 2, 0.01, 1e6, 1, 0, 0);
-    /** The operators' page: so many times as much, and so much more, and so much more for each thousand servers. */
+    private static final double BYTES_PER_KILOBYTE = 1 << 10;
+    private static final double MICROS_PER_MILLI = 1000;
+    private static final EngineProfile PROFILE = EngineProfile.fast(EngineProfile.FULL_RATE, 200, 10_000_000, 8192);
+
+    /** The limits that the operators' page states. */
     private static final GrowthLimit CPU_LIMIT = new GrowthLimit(1.4, 0.02, 0.12);
 
     private static final GrowthLimit MEMORY_LIMIT = new GrowthLimit(1.5, 8, 4);
@@ -39,14 +47,15 @@
     private static final GrowthLimit LIST_KILOBYTES_LIMIT = new GrowthLimit(2, 64, 500);
     private static final double MIN_SERVED_RATIO = 0.85;
 
-    /** How a figure may grow. */
+    /**
+     * The large fleet's limit: a multiple of the small fleet's figure, a constant, and a part for 1000 servers each.
+     */
     private record GrowthLimit(double factor, double constant, double perThousandServers) {
         double limitFor(double small) {
             return small * factor + constant + perThousandServers * LARGE_FLEET / 1000;
         }
     }
 
-    /** What one play came to: seconds, megabytes, counts, kilobytes, a part, and milliseconds. */
     private record RunResult(
             double cpuSeconds,
             double memoryMegabytes,
@@ -57,111 +66,100 @@
             double firstEventP99Millis) {}
 
     @Override
-    public String name() {
-        return "fleet-size";
-    }
-
-    @Override
-    public String purpose() {
-        return "what a node needs before " + LARGE_FLEET + " servers, beside " + SMALL_FLEET
-                + ", while the list changes all the time";
-    }
-
-    @Override
-    public ScenarioReport run(long seed, boolean quick) throws Exception {
-        List<RunResult> small = new ArrayList<>();
-        List<RunResult> large = new ArrayList<>();
-        int pairs = quick ? 1 : 3;
-        for (int i = 0; i < pairs; i++) {
-            small.add(runFleet(SMALL_FLEET, seed + i, quick ? 8 : 22));
-            large.add(runFleet(LARGE_FLEET, seed + i, quick ? 8 : 22));
-            System.err.printf("%d of %d pairs%n", i + 1, pairs);
-        }
+    public ScenarioReport run(long seed, RunLength length) throws IOException, InterruptedException {
+        int seconds = length.choose(22, 8);
+        PairedRuns<RunResult> pairs = PairedRuns.measure(
+                length.choose(3, 1),
+                pair -> runFleet(SMALL_FLEET, seed + pair, seconds),
+                pair -> runFleet(LARGE_FLEET, seed + pair, seconds));
         ScenarioReport report = new ScenarioReport();
-        checkGrowth(report, "CPU seconds", small, large, RunResult::cpuSeconds, CPU_LIMIT);
-        checkGrowth(report, "peak memory, MB", small, large, RunResult::memoryMegabytes, MEMORY_LIMIT);
-        checkGrowth(report, "descriptors at the end", small, large, RunResult::descriptors, DESCRIPTOR_LIMIT);
-        checkGrowth(report, "connections made to servers", small, large, RunResult::connections, CONNECTION_LIMIT);
-        checkGrowth(report, "KB of lists", small, large, RunResult::listKilobytes, LIST_KILOBYTES_LIMIT);
-        double smallMedian = median(small, RunResult::servedShare);
-        double largeMedian = median(large, RunResult::servedShare);
-        report.addCheck(
-                "part served in time",
-                String.format("%.3f and %.3f", smallMedian, largeMedian),
-                String.format("from %.3f", MIN_SERVED_RATIO * smallMedian),
-                largeMedian >= MIN_SERVED_RATIO * smallMedian);
+        checkGrowth(report, "CPU seconds", pairs, RunResult::cpuSeconds, CPU_LIMIT);
+        checkGrowth(report, "peak memory, MB", pairs, RunResult::memoryMegabytes, MEMORY_LIMIT);
+        checkGrowth(report, "descriptors at the end", pairs, RunResult::descriptors, DESCRIPTOR_LIMIT);
+        checkGrowth(report, "connections made to servers", pairs, RunResult::connections, CONNECTION_LIMIT);
+        checkGrowth(report, "KB of lists", pairs, RunResult::listKilobytes, LIST_KILOBYTES_LIMIT);
+        checkServedShare(report, pairs);
         report.addMeasurement(
                 "first event, 99th percentile, ms",
                 String.format(
                         "%.0f and %.0f",
-                        median(small, RunResult::firstEventP99Millis), median(large, RunResult::firstEventP99Millis)));
+                        Medians.median(pairs.first(), RunResult::firstEventP99Millis),
+                        Medians.median(pairs.second(), RunResult::firstEventP99Millis)));
         return report;
     }
 
     private static void checkGrowth(
             ScenarioReport report,
-            String what,
-            List<RunResult> small,
-            List<RunResult> large,
+            String name,
+            PairedRuns<RunResult> pairs,
             ToDoubleFunction<RunResult> figure,
-            GrowthLimit limit) {
-        double smallMedian = median(small, figure);
-        double largeMedian = median(large, figure);
+            GrowthLimit growthLimit) {
+        double small = Medians.median(pairs.first(), figure);
+        double large = Medians.median(pairs.second(), figure);
+        double limit = growthLimit.limitFor(small);
         report.addCheck(
-                what + ", medians of " + small.size(),
-                String.format("%.2f and %.2f", smallMedian, largeMedian),
-                String.format("up to %.2f", limit.limitFor(smallMedian)),
-                largeMedian <= limit.limitFor(smallMedian));
-    }
-
-    private static double median(List<RunResult> plays, ToDoubleFunction<RunResult> figure) {
-        return StatUtils.percentile(plays.stream().mapToDouble(figure).toArray(), 50);
+                name + ", medians of " + pairs.first().size(),
+                String.format("%.2f and %.2f", small, large),
+                String.format("up to %.2f", limit),
+                large <= limit);
     }
 
-    private static DiscoveredEndpoint member(int number, List<EngineServer> sockets, EndpointPhase phase) {
-        int port = sockets.get(number % sockets.size()).address().getPort();
-        return new DiscoveredEndpoint(
-                String.format("s-%08x", number), "127.0.0.1", port, "regina-east", PROFILE.name(), 0, phase, 1, 0);
+    private static void checkServedShare(ScenarioReport report, PairedRuns<RunResult> pairs) {
+        double small = Medians.median(pairs.first(), RunResult::servedShare);
+        double large = Medians.median(pairs.second(), RunResult::servedShare);
+        double limit = MIN_SERVED_RATIO * small;
+        report.addCheck(
+                "part served in time",
+                String.format("%.3f and %.3f", small, large),
+                String.format("from %.3f", limit),
+                large >= limit);
     }
 
-    private static RunResult runFleet(int servers, long seed, int seconds) throws Exception {
+    private static RunResult runFleet(int servers, long seed, int seconds) throws IOException, InterruptedException {
         try (Testbed testbed = new Testbed()) {
-            for (int i = 0; i < LISTENING_SERVERS; i++) {
-                testbed.addBackend(PROFILE, ApiFormat.CHAT);
-            }
+            testbed.addBackends(LISTENING_SERVERS, PROFILE, ApiFormat.CHAT);
             testbed.prepareNodes(1, 0);
-            List<DiscoveredEndpoint> all = new ArrayList<>();
-            for (int i = 0; i < servers; i++) {
-                all.add(member(i, testbed.backends, EndpointPhase.READY));
+            List<DiscoveredEndpoint> endpoints = new ArrayList<>();
+            for (int number = 0; number < servers; number++) {
+                endpoints.add(endpoint(testbed, number, EndpointPhase.READY));
             }
-            Testbed.runOn(testbed.backendWorker, () -> testbed.discovery.replaceList(1, all));
+            testbed.runOnBackends(() -> testbed.discovery().replaceList(1, endpoints));
             RandomGenerator random = new Well19937c(seed);
             testbed.startNodes(Map.of());
-            Testbed.runOn(testbed.backendWorker, () -> replaceOneServer(testbed, servers, 0));
-            LoadGenerator generator =
-                    testbed.runLoad(ArrivalPlan.draw(random, REQUESTS_PER_SECOND, seconds), seconds, seed);
-            NodeProcess node = testbed.nodes.get(0);
-            int asked = generator.outcomeTotals().values().stream()
-                    .mapToInt(Integer::intValue)
-                    .sum();
-            return new RunResult(
-                    node.cpuSeconds(),
-                    node.peakResidentBytes() / BYTES_PER_MEGABYTE,
-                    node.openDescriptors(),
-                    testbed.backends.stream()
-                            .mapToInt(EngineServer::connectionCount)
-                            .sum(),
-                    testbed.discovery.bytesSent() / 1024.0,
-                    generator.outcomeTotals().get(LoadGenerator.TurnOutcome.IN_TIME) / (double) asked,
-                    generator.firstEventMicros().getValueAtPercentile(99) / 1000.0);
+            testbed.runOnBackends(() -> replaceOneServer(testbed, servers, 0));
+            List<ArrivalPlan.Turn> turns = ArrivalPlan.draw(random, REQUESTS_PER_SECOND, seconds);
+            LoadStatistics statistics = testbed.runLoad(turns, seconds, seed);
+            return measure(testbed, statistics);
         }
     }
 
-    /** The server that came first leaves, and another one joins; again and again. */
+    private static RunResult measure(Testbed testbed, LoadStatistics statistics) throws IOException {
+        NodeProcess node = testbed.nodes().get(0);
+        return new RunResult(
+                node.cpuSeconds(),
+                node.peakResidentBytes() / BYTES_PER_MEGABYTE,
+                node.openDescriptors(),
+                testbed.backends().stream()
+                        .mapToInt(EngineServer::connectionCount)
+                        .sum(),
+                testbed.discovery().bytesSent() / BYTES_PER_KILOBYTE,
+                statistics.total(TurnOutcome.IN_TIME) / (double) statistics.totalTurns(),
+                statistics.firstEventMicros().getValueAtPercentile(99) / MICROS_PER_MILLI);
+    }
+
+    private static DiscoveredEndpoint endpoint(Testbed testbed, int number, EndpointPhase phase) {
+        List<EngineServer> servers = testbed.backends();
+        int port = servers.get(number % servers.size()).address().getPort();
+        String id = String.format("s-%08x", number);
+        return EmulatedEndpoints.listed(id, port, EmulatedEndpoints.ZONES.get(0), PROFILE.name(), phase, 0);
+    }
+
+    /** Removes the server that was added first and adds another one, again and again. */
     private static void replaceOneServer(Testbed testbed, int servers, int round) {
-        testbed.discovery.applyChanges(
-                member(round, testbed.backends, EndpointPhase.GONE),
-                member(servers + round, testbed.backends, EndpointPhase.READY));
-        testbed.backendTimers.schedule(CHANGE_INTERVAL_NANOS, () -> replaceOneServer(testbed, servers, round + 1));
+        testbed.discovery()
+                .applyChanges(
+                        endpoint(testbed, round, EndpointPhase.GONE),
+                        endpoint(testbed, servers + round, EndpointPhase.READY));
+        testbed.scheduleOnBackends(CHANGE_INTERVAL_NANOS, () -> replaceOneServer(testbed, servers, round + 1));
     }
 }
--- a/lab/src/main/java/fawnlb/lab/scenario/Scenario.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/Scenario.java
@@ -1,12 +1,15 @@
 package fawnlb.lab.scenario;
 
-/** A named experiment. */
-public interface Scenario {
-    String name();
-
-    /** One sentence on what it shows. */
-    String purpose();
+import java.io.IOException;
 
-    /** Plays it; progress goes to standard error. Quick: a shorter form, with the same claims. */
-    ScenarioReport run(long seed, boolean quick) throws Exception;
+/** An experiment against real nodes. The command line lists all of them by name. */
+@FunctionalInterface
+public interface Scenario {
+    /**
+     * Runs the scenario; progress goes to standard error.
+     *
+     * @param seed determines all that is random in the run
+     * @throws IOException if a node fails or the testbed can't be set up
+     */
+    ScenarioReport run(long seed, RunLength length) throws IOException, InterruptedException;
 }
--- a/lab/src/main/java/fawnlb/lab/scenario/SlowReaders.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/SlowReaders.java
@@ -3,197 +3,203 @@
 import fawnlb.admin.AdminClient;
 import fawnlb.lab.load.ArrivalPlan;
 import fawnlb.lab.load.LoadGenerator;
+import fawnlb.lab.load.LoadStatistics;
 import fawnlb.lab.load.SlowReaderClients;
 import fawnlb.lab.net.Ports;
 import fawnlb.lab.node.NodeProcess;
+import fawnlb.lab.testbed.Testbed;
+import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import java.util.function.ToDoubleFunction;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.apache.commons.math3.random.RandomGenerator;
 import org.apache.commons.math3.random.Well19937c;
-import org.apache.commons.math3.stat.StatUtils;
 
 /**
- * 400 readers at a byte a second and 100 that have stopped, beside normal traffic through one node: what the node
- * holds, and whether anyone else notices. In pairs, with them and without, on the same arrivals.
+ * 400 clients that read a byte a second and 100 that have stopped, beside normal traffic through one node: what the
+ * node buffers, and whether other clients are affected. Measured in pairs, with them and without, on the same arrivals.
  */
 public final class SlowReaders implements Scenario {
     private static final int SLOW_COUNT = 400;
     private static final int STOPPED_COUNT = 100;
+    private static final int FIRST_REQUEST_ID = 0x5100000;
     private static final int BACKEND_COUNT = 14;
     private static final double LOAD_SHARE = 0.35;
     private static final int OUTPUT_TOKENS = 100;
     private static final int PADDING_BYTES = 16_000;
     private static final long MAX_BUFFERED_BYTES = 16 << 20;
     private static final long SMALL_BUFFER_BYTES = 1 << 20;
-    private static final Pattern BUFFERED_BYTES_PATTERN = Pattern.compile("(\\d+) byte\\(s\\) held");
-    private static final Pattern STOPPED_ENDS_PATTERN = Pattern.compile("reader-stopped (\\d+)");
-    private static final Pattern CROWDED_ENDS_PATTERN = Pattern.compile("crowded-out (\\d+)");
+    private static final int DURATION_SECONDS = 30;
+    private static final int SMALL_BUFFER_DURATION_SECONDS = 15;
+    /** Until then the backends are busy with the answers for slow readers; what is compared comes after that. */
+    private static final int SLOW_READERS_WARMUP_SECONDS = 15;
 
-    @Override
-    public String name() {
-        return "slow-readers";
-    }
+    private static final int WARMUP_SECONDS = 1;
+    private static final int POLLS_PER_SECOND = 2;
+    private static final int MAX_COMPLETION_POLLS = 40;
+    private static final double MAX_RATIO = 1.05;
 
-    @Override
-    public String purpose() {
-        return "400 readers at a byte a second and 100 that stopped: bytes held within their limit, and nobody else notices";
-    }
+    /** Texts of the node's admin interface. */
+    private static final Pattern BUFFERED_BYTES = Pattern.compile("(\\d+) byte\\(s\\) held");
+
+    private static final Pattern STOPPED_ENDS = Pattern.compile("reader-stopped (\\d+)");
+    private static final Pattern CROWDED_ENDS = Pattern.compile("crowded-out (\\d+)");
 
+    /** One run; buffered bytes are the most that were seen at any time. */
     private record RunResult(
             double firstEventP99Millis,
             double gapP99Millis,
             long bufferedBytes,
             long residentBytes,
-            int stoppedEnds,
-            int crowdedEnds,
-            String table) {}
+            long stoppedEnds,
+            long crowdedEnds,
+            String backendTable) {}
+
+    private enum Readers {
+        NONE,
+        SLOW_AND_STOPPED
+    }
 
     @Override
-    public ScenarioReport run(long seed, boolean quick) throws Exception {
-        int seconds = 30;
-        int pairs = quick ? 1 : 3;
-        List<RunResult> with = new ArrayList<>();
-        List<RunResult> without = new ArrayList<>();
-        for (int i = 0; i < pairs; i++) {
-            // In turn, so that what changes on the machine changes for both.
-            without.add(measureLoad(seed + i, seconds, false, MAX_BUFFERED_BYTES));
-            with.add(measureLoad(seed + i, seconds, true, MAX_BUFFERED_BYTES));
-            System.err.printf("%d of %d pairs%n", i + 1, pairs);
-        }
-        RunResult smallBuffer = measureLoad(seed, 15, true, SMALL_BUFFER_BYTES);
-        RunResult worst = with.get(0);
-        System.out.println(worst.table());
+    public ScenarioReport run(long seed, RunLength length) throws IOException, InterruptedException {
+        PairedRuns<RunResult> pairs = PairedRuns.measure(
+                length.choose(3, 1),
+                pair -> measureLoad(seed + pair, DURATION_SECONDS, Readers.NONE, MAX_BUFFERED_BYTES),
+                pair -> measureLoad(seed + pair, DURATION_SECONDS, Readers.SLOW_AND_STOPPED, MAX_BUFFERED_BYTES));
+        RunResult smallBuffer =
+                measureLoad(seed, SMALL_BUFFER_DURATION_SECONDS, Readers.SLOW_AND_STOPPED, SMALL_BUFFER_BYTES);
+        System.out.println(pairs.second().get(0).backendTable());
         ScenarioReport report = new ScenarioReport();
+        addLatencies(report, pairs);
+        addBuffers(report, pairs);
+        addSmallBuffer(report, smallBuffer);
+        return report;
+    }
+
+    private static void addLatencies(ScenarioReport report, PairedRuns<RunResult> pairs) {
         report.addMeasurement(
-                "first event, p99, with them and without",
+                "first event, p99, with slow readers and without",
                 String.format(
                         "%.0f ms  %.0f ms",
-                        median(with, RunResult::firstEventP99Millis), median(without, RunResult::firstEventP99Millis)));
+                        Medians.median(pairs.second(), RunResult::firstEventP99Millis),
+                        Medians.median(pairs.first(), RunResult::firstEventP99Millis)));
         report.addMeasurement(
-                "gap between events, p99, with them and without",
+                "gap between events, p99, with slow readers and without",
                 String.format(
                         "%.1f ms  %.1f ms",
-                        median(with, RunResult::gapP99Millis), median(without, RunResult::gapP99Millis)));
-        double first = ratio(with, without, RunResult::firstEventP99Millis);
-        double gap = ratio(with, without, RunResult::gapP99Millis);
-        report.addCheck(
-                "first event's p99, median ratio of pairs", String.format("%.3f", first), "within 1.05", first <= 1.05);
-        report.addCheck("gap's p99, median ratio of pairs", String.format("%.3f", gap), "within 1.05", gap <= 1.05);
+                        Medians.median(pairs.second(), RunResult::gapP99Millis),
+                        Medians.median(pairs.first(), RunResult::gapP99Millis)));
+        double firstEvent = Medians.medianRatio(pairs, RunResult::firstEventP99Millis);
+        double gap = Medians.medianRatio(pairs, RunResult::gapP99Millis);
+        addRatio(report, "first event's p99, median ratio of pairs", firstEvent);
+        addRatio(report, "gap's p99, median ratio of pairs", gap);
+    }
+
+    private static void addRatio(ScenarioReport report, String name, double ratio) {
+        report.addCheck(name, String.format("%.3f", ratio), "within " + MAX_RATIO, ratio <= MAX_RATIO);
+    }
+
+    private static void addBuffers(ScenarioReport report, PairedRuns<RunResult> pairs) {
+        List<RunResult> with = pairs.second();
         long bufferedBytes =
                 with.stream().mapToLong(RunResult::bufferedBytes).max().orElse(0);
-        report.addCheck(
-                "most bytes held for readers",
-                Long.toString(bufferedBytes),
-                "within " + MAX_BUFFERED_BYTES,
-                bufferedBytes <= MAX_BUFFERED_BYTES);
+        addBufferedBytes(report, "most bytes buffered for readers", bufferedBytes, MAX_BUFFERED_BYTES);
         report.addMeasurement(
-                "node's memory at the end, with them and without",
+                "node's memory at the end, with slow readers and without",
                 String.format(
                         "%d MB  %d MB",
-                        with.get(0).residentBytes() >> 20, without.get(0).residentBytes() >> 20));
-        int stoppedEnds = with.stream().mapToInt(RunResult::stoppedEnds).min().orElse(0);
+                        with.get(0).residentBytes() >> 20, pairs.first().get(0).residentBytes() >> 20));
+        long stoppedEnds = with.stream().mapToLong(RunResult::stoppedEnds).min().orElse(0);
         report.addCheck(
-                "readers left after 20 s without a byte taken",
-                Integer.toString(stoppedEnds),
+                "clients disconnected after 20 s without a byte read",
+                Long.toString(stoppedEnds),
                 "100 or more",
                 stoppedEnds >= STOPPED_COUNT);
-        report.addCheck(
-                "with a limit of 1 MiB: most bytes held",
-                Long.toString(smallBuffer.bufferedBytes()),
-                "within " + SMALL_BUFFER_BYTES,
-                smallBuffer.bufferedBytes() <= SMALL_BUFFER_BYTES);
-        report.addCheck(
-                "with a limit of 1 MiB: streams crowded out",
-                Integer.toString(smallBuffer.crowdedEnds()),
-                "some",
-                smallBuffer.crowdedEnds() > 0);
-        return report;
     }
 
-    private static double median(List<RunResult> runs, ToDoubleFunction<RunResult> figure) {
-        return StatUtils.percentile(runs.stream().mapToDouble(figure).toArray(), 50);
+    private static void addBufferedBytes(ScenarioReport report, String name, long bytes, long limit) {
+        report.addCheck(name, Long.toString(bytes), "within " + limit, bytes <= limit);
     }
 
-    private static double ratio(List<RunResult> with, List<RunResult> without, ToDoubleFunction<RunResult> figure) {
-        double[] ratios = new double[with.size()];
-        for (int i = 0; i < ratios.length; i++) {
-            ratios[i] = figure.applyAsDouble(with.get(i)) / figure.applyAsDouble(without.get(i));
-        }
-        return StatUtils.percentile(ratios, 50);
+    private static void addSmallBuffer(ScenarioReport report, RunResult result) {
+        addBufferedBytes(
+                report, "with a limit of 1 MiB: most bytes buffered", result.bufferedBytes(), SMALL_BUFFER_BYTES);
+        report.addCheck(
+                "with a limit of 1 MiB: streams ended to free memory",
+                Long.toString(result.crowdedEnds()),
+                "some",
+                result.crowdedEnds() > 0);
     }
 
-    private static RunResult measureLoad(long seed, int seconds, boolean withSlowReaders, long maxBufferedBytes)
-            throws Exception {
-        try (Testbed testbed = new Testbed();
-                SlowReaderClients slowClients = new SlowReaderClients()) {
+    private static RunResult measureLoad(long seed, int seconds, Readers readers, long maxBufferedBytes)
+            throws IOException, InterruptedException {
+        try (Testbed testbed = new Testbed()) {
             RandomGenerator random = new Well19937c(seed);
             testbed.addRandomBackends(BACKEND_COUNT, random);
-            List<ArrivalPlan.Turn> turns =
-                    ArrivalPlan.draw(random, LOAD_SHARE * Testbed.turnsPerSecond(testbed.backends, 1), seconds);
+            double turnsPerSecond = LOAD_SHARE * Testbed.turnsPerSecond(testbed.backends(), 1);
+            List<ArrivalPlan.Turn> turns = ArrivalPlan.draw(random, turnsPerSecond, seconds);
             InetSocketAddress admin = new InetSocketAddress("127.0.0.1", Ports.findFreePort());
-            testbed.start(
-                    1,
-                    0,
-                    Map.of(
-                            "streams",
-                            "{\"readers\":{\"most-held-bytes\":" + maxBufferedBytes
-                                    + "},\"admin\":{\"listen\":\"127.0.0.1:" + admin.getPort() + "\"}}"));
-            NodeProcess node = testbed.nodes.get(0);
-            if (withSlowReaders) {
-                for (int i = 0; i < SLOW_COUNT + STOPPED_COUNT; i++) {
-                    slowClients.sendRequest(
-                            i < SLOW_COUNT
-                                    ? SlowReaderClients.ReadPattern.ONE_BYTE_PER_SECOND
-                                    : SlowReaderClients.ReadPattern.STOPPED,
-                            node.address(),
-                            node.name(),
-                            testbed.rules,
-                            String.format("%016x", 0x5100000 + i),
-                            OUTPUT_TOKENS,
-                            PADDING_BYTES);
-                }
-                slowClients.start();
-            }
-            // Until the slow ones' answers are made, their boxes are busy with them; what is compared comes after that.
-            TimeUnit.SECONDS.sleep(withSlowReaders ? 15 : 1);
-            LoadGenerator generator = new LoadGenerator(
-                    testbed.clientWorker.getIoThread(),
-                    testbed.clientTimers,
-                    testbed.rules,
-                    testbed.nodeAddresses(),
-                    seconds + 1,
-                    seed);
-            Testbed.runOn(testbed.clientWorker, () -> generator.start(turns));
-            long bufferedBytes = 0;
-            String table = "";
-            for (int i = 0; i < seconds * 2 || generator.openTurns() > 0 && i < seconds * 2 + 40; i++) {
-                TimeUnit.MILLISECONDS.sleep(500);
-                table = AdminClient.fetchTargets(admin, false);
-                bufferedBytes = Math.max(bufferedBytes, sum(BUFFERED_BYTES_PATTERN, table));
+            testbed.startNodes(1, 0, Map.of("streams", formatStreamsFile(maxBufferedBytes, admin)));
+            NodeProcess node = testbed.nodes().get(0);
+            try (SlowReaderClients slowClients = new SlowReaderClients(node.name(), node.address(), testbed.rules())) {
+                startSlowReaders(slowClients, readers);
+                LoadGenerator generator = testbed.createLoadGenerator(seconds, seed);
+                testbed.runOnClients(() -> generator.start(turns));
+                return observe(testbed, admin, generator.statistics(), seconds);
             }
-            testbed.requireNodesAlive();
-            return new RunResult(
-                    generator.firstEventMicros().getValueAtPercentile(99) / 1e3,
-                    generator.eventGapMicros().getValueAtPercentile(99) / 1e3,
-                    bufferedBytes,
-                    node.residentBytes(),
-                    (int) sum(STOPPED_ENDS_PATTERN, table),
-                    (int) sum(CROWDED_ENDS_PATTERN, table),
-                    table);
         }
     }
 
-    private static long sum(Pattern pattern, String table) {
-        long sum = 0;
-        for (Matcher matcher = pattern.matcher(table); matcher.find(); ) {
-            sum += Long.parseLong(matcher.group(1));
+    private static String formatStreamsFile(long maxBufferedBytes, InetSocketAddress admin) {
+        return "{\"readers\":{\"most-held-bytes\":" + maxBufferedBytes + "},\"admin\":{\"listen\":\"127.0.0.1:"
+                + admin.getPort() + "\"}}";
+    }
+
+    private static void startSlowReaders(SlowReaderClients clients, Readers readers)
+            throws IOException, InterruptedException {
+        if (readers == Readers.NONE) {
+            TimeUnit.SECONDS.sleep(WARMUP_SECONDS);
+            return;
+        }
+        for (int i = 0; i < SLOW_COUNT + STOPPED_COUNT; i++) {
+            SlowReaderClients.ReadPattern pattern = i < SLOW_COUNT
+                    ? SlowReaderClients.ReadPattern.ONE_BYTE_PER_SECOND
+                    : SlowReaderClients.ReadPattern.STOPPED;
+            String requestId = String.format("%016x", FIRST_REQUEST_ID + i);
+            clients.sendRequest(pattern, requestId, OUTPUT_TOKENS, PADDING_BYTES);
+        }
+        clients.start();
+        TimeUnit.SECONDS.sleep(SLOW_READERS_WARMUP_SECONDS);
+    }
+
+    private static RunResult observe(Testbed testbed, InetSocketAddress admin, LoadStatistics statistics, int seconds)
+            throws IOException, InterruptedException {
+        long bufferedBytes = 0;
+        String table = "";
+        int polls = seconds * POLLS_PER_SECOND;
+        for (int i = 0; i < polls || statistics.openTurns() > 0 && i < polls + MAX_COMPLETION_POLLS; i++) {
+            TimeUnit.MILLISECONDS.sleep(TimeUnit.SECONDS.toMillis(1) / POLLS_PER_SECOND);
+            table = AdminClient.fetchTargets(admin, false);
+            bufferedBytes = Math.max(bufferedBytes, sum(BUFFERED_BYTES, table));
         }
-        return sum;
+        testbed.requireNodesAlive();
+        return new RunResult(
+                statistics.firstEventMicros().getValueAtPercentile(99) / 1e3,
+                statistics.eventGapMicros().getValueAtPercentile(99) / 1e3,
+                bufferedBytes,
+                testbed.nodes().get(0).residentBytes(),
+                sum(STOPPED_ENDS, table),
+                sum(CROWDED_ENDS, table),
+                table);
+    }
+
+    private static long sum(Pattern pattern, String table) {
+        Matcher matcher = pattern.matcher(table);
+        return matcher.results()
+                .mapToLong(found -> Long.parseLong(found.group(1)))
+                .sum();
     }
 }
--- /dev/null
+++ b/lab/src/main/java/fawnlb/lab/soak/BackendFaults.java
@@ -0,0 +1,115 @@
+package fawnlb.lab.soak;
+
+import fawnlb.decision.EndpointPhase;
+import fawnlb.lab.engine.EngineServer;
+import fawnlb.lab.net.Fault;
+import fawnlb.lab.testbed.EmulatedEndpoints;
+import fawnlb.lab.testbed.IoTask;
+import fawnlb.lab.testbed.Testbed;
+import java.io.IOException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/** Faults of backends and of the discovery service. Methods last as long as their faults. Thread-safe. */
+final class BackendFaults {
+    private static final double SLOWDOWN = 0.3;
+    /** Time that a draining backend has beside the duration of its fault; longer than the drain's grace period. */
+    private static final int DRAIN_MILLIS = 2000;
+    /** Time from the removal of a backend to the listing of the one that replaces it. */
+    private static final int REPLACEMENT_DELAY_MILLIS = 300;
+    /** Numbers of the ids of replaced backends begin here, above those of the first ones. */
+    private static final int FIRST_REPLACEMENT_NUMBER = 1000;
+    /** One response in so many has a fault, within its first bytes. */
+    private static final int CORRUPTION_INTERVAL = 3;
+
+    private static final int MAX_FAULT_OFFSET = 900;
+    private static final long FAULT_PAUSE_NANOS = 50_000_000;
+
+    private final Testbed testbed;
+    private final ExclusiveTargets targets;
+    private final AtomicInteger nextReplacementNumber;
+    private final Object discoveryLock = new Object();
+
+    BackendFaults(Testbed testbed, ExclusiveTargets targets) {
+        this.testbed = testbed;
+        this.targets = targets;
+        this.nextReplacementNumber =
+                new AtomicInteger(FIRST_REPLACEMENT_NUMBER + testbed.backends().size());
+    }
+
+    /** Ends a backend's process and restarts it. */
+    void crash(EngineServer backend, int durationMillis) throws IOException, InterruptedException {
+        stopAndRestart(backend, backend::crash, durationMillis);
+    }
+
+    /** Cuts a backend off the network and restarts it. */
+    void makeUnreachable(EngineServer backend, int durationMillis) throws IOException, InterruptedException {
+        stopAndRestart(backend, backend::becomeUnreachable, durationMillis);
+    }
+
+    private void stopAndRestart(EngineServer backend, IoTask stop, int durationMillis)
+            throws IOException, InterruptedException {
+        targets.runExclusively(backend, target -> {
+            testbed.runOnBackends(stop);
+            TimeUnit.MILLISECONDS.sleep(durationMillis);
+            testbed.runOnBackends(() -> {
+                target.restart();
+                announce(target, EndpointPhase.READY);
+            });
+        });
+    }
+
+    /** Drains a backend, removes it from the list, and lists another one at its address. */
+    void replace(EngineServer backend, int durationMillis) throws IOException, InterruptedException {
+        targets.runExclusively(backend, target -> {
+            testbed.runOnBackends(() -> announce(target, EndpointPhase.DRAINING));
+            TimeUnit.MILLISECONDS.sleep(durationMillis + DRAIN_MILLIS);
+            testbed.runOnBackends(() -> {
+                announce(target, EndpointPhase.GONE);
+                target.replace(EmulatedEndpoints.id(nextReplacementNumber.getAndIncrement()));
+                target.restart();
+            });
+            TimeUnit.MILLISECONDS.sleep(REPLACEMENT_DELAY_MILLIS);
+            testbed.runOnBackends(() -> announce(target, EndpointPhase.READY));
+        });
+    }
+
+    /** Lists the backend as one that has started now; to be called on the backends' thread. */
+    private void announce(EngineServer backend, EndpointPhase phase) {
+        testbed.discovery().applyChanges(EmulatedEndpoints.of(backend, phase, System.currentTimeMillis()));
+    }
+
+    /** Changes the duration of a backend's steps. */
+    void slowDown(EngineServer backend, int durationMillis) throws IOException, InterruptedException {
+        testbed.runOnBackends(() -> backend.setSlowdown(SLOWDOWN));
+        TimeUnit.MILLISECONDS.sleep(durationMillis);
+        testbed.runOnBackends(() -> backend.setSlowdown(1));
+    }
+
+    /** Injects faults into a part of a backend's responses, which request id and selector determine. */
+    void corruptResponses(EngineServer backend, int selector, int durationMillis)
+            throws IOException, InterruptedException {
+        testbed.runOnBackends(() -> backend.injectFaults(requestId -> selectFault(requestId, selector)));
+        TimeUnit.MILLISECONDS.sleep(durationMillis);
+        testbed.runOnBackends(() -> backend.injectFaults(requestId -> null));
+    }
+
+    private static Fault selectFault(String requestId, int selector) {
+        int hash = requestId.hashCode();
+        if (Math.floorMod(hash + selector, CORRUPTION_INTERVAL) != 0) {
+            return null;
+        }
+        Fault.Kind[] kinds = Fault.Kind.values();
+        Fault.Kind kind = kinds[Math.floorMod(hash / CORRUPTION_INTERVAL + selector, kinds.length)];
+        return new Fault(kind, Math.floorMod(hash, MAX_FAULT_OFFSET), FAULT_PAUSE_NANOS);
+    }
+
+    /** Takes discovery down for a time; outages follow each other. */
+    void interruptDiscovery(int durationMillis) throws IOException, InterruptedException {
+        synchronized (discoveryLock) {
+            testbed.runOnBackends(() -> testbed.discovery().stopServing());
+            TimeUnit.MILLISECONDS.sleep(durationMillis);
+            testbed.runOnBackends(() -> testbed.discovery().resumeServing());
+        }
+    }
+}
--- a/lab/src/main/java/fawnlb/lab/scenario/MalformedClients.java
+++ b/lab/src/main/java/fawnlb/lab/soak/MalformedClients.java
@@ -1,4 +1,4 @@
-package fawnlb.lab.scenario;
+package fawnlb.lab.soak;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,10 +9,12 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Clients that connect, write a part of a request or nothing, and stay. */
+/** Clients that connect to a node, write a part of a request or nothing, and keep the connection. Not thread-safe. */
 final class MalformedClients implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
     private final InetSocketAddress node;
     private final List<Socket> sockets = new ArrayList<>();
 
@@ -20,7 +22,7 @@
         this.node = node;
     }
 
-    /** As many as the node takes: it may be down at the moment. */
+    /** Opens connections, fewer if the node refuses one: it may be down at the moment. */
     void connect(int count, String partialRequest) {
         for (int i = 0; i < count; i++) {
             try {
@@ -34,25 +36,26 @@
         }
     }
 
-    /** Whether the node ends all connections within this time. */
+    /** Returns whether the node closes all connections within this time. */
     boolean areClosedWithin(long timeoutMillis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         for (Socket socket : sockets) {
             try {
-                long remainingMillis = (end - System.nanoTime()) / 1_000_000;
+                long remainingMillis = (end - System.nanoTime()) / NANOS_PER_MILLI;
                 socket.setSoTimeout((int) Math.max(1, remainingMillis));
                 while (socket.getInputStream().read() >= 0) {
-                    // An error may be told before the close.
+                    // An error response may precede the close.
                 }
             } catch (SocketTimeoutException e) {
                 return false;
             } catch (IOException e) {
-                // A reset ends it too.
+                // A reset closes the connection too.
             }
         }
         return true;
     }
 
+    /** Closes all connections that the node has not closed. */
     @Override
     public void close() throws IOException {
         for (Socket socket : sockets) {
--- a/lab/src/main/java/fawnlb/lab/scenario/Directories.java
+++ b/lab/src/main/java/fawnlb/lab/testbed/Directories.java
@@ -1,4 +1,4 @@
-package fawnlb.lab.scenario;
+package fawnlb.lab.testbed;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,12 +7,17 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** Folders that a run makes and takes away again. */
-final class Directories {
+/** Creates, copies and deletes the directories of a run. */
+public final class Directories {
     private Directories() {}
 
-    /** Copies the files of a folder to another, which is made. */
-    static void copyFiles(Path directory, Path target) throws IOException {
+    /** Creates an empty directory for the files of one run. */
+    public static Path createTemporary() throws IOException {
+        return Files.createTempDirectory("fawnlb-lab");
+    }
+
+    /** Copies the regular files of a directory to another one, which is created if it is missing. */
+    public static void copyFiles(Path directory, Path target) throws IOException {
         Files.createDirectories(target);
         try (Stream<Path> files = Files.list(directory)) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
@@ -21,8 +26,8 @@
         }
     }
 
-    /** Deletes a folder with all that is in it. */
-    static void deleteRecursively(Path directory) throws IOException {
+    /** Deletes a directory and everything in it. */
+    public static void deleteRecursively(Path directory) throws IOException {
         try (Stream<Path> files = Files.walk(directory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
--- a/lab/src/main/java/fawnlb/lab/scenario/FleetSchedule.java
+++ b/lab/src/main/java/fawnlb/lab/testbed/FleetSchedule.java
@@ -1,37 +1,37 @@
-package fawnlb.lab.scenario;
+package fawnlb.lab.testbed;
 
 import fawnlb.eventloop.Timers;
+import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
 
-/** What happens to a fleet and when, in seconds from the start of a run. */
-final class FleetSchedule {
+/** Changes of the emulated fleet and their times, in seconds from the start of the schedule. */
+public final class FleetSchedule {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final List<ScheduledChange> changes = new ArrayList<>();
 
-    /** A change of the fleet. */
-    @FunctionalInterface
-    interface FleetChange {
-        void apply() throws Exception;
-    }
-
-    private record ScheduledChange(double atSeconds, String description, FleetChange change) {
+    private record ScheduledChange(double atSeconds, String description, IoTask change) {
         void apply() {
             try {
-                change.apply();
-            } catch (Exception e) {
-                throw new IllegalStateException("at " + atSeconds + " s: " + description, e);
+                change.run();
+            } catch (IOException e) {
+                throw new UncheckedIOException("at " + atSeconds + " s: " + description, e);
             }
         }
     }
 
-    FleetSchedule at(double seconds, String description, FleetChange change) {
+    /** Adds a change; the description stands in the error if it fails. */
+    public FleetSchedule at(double seconds, String description, IoTask change) {
         changes.add(new ScheduledChange(seconds, description, change));
         return this;
     }
 
-    /** Plays it on the thread of these timers, which calls this; what is due at the start is done when it returns. */
+    /**
+     * Starts the schedule. To be called on the thread of these timers; changes that are due at the start are done when
+     * the method returns.
+     */
     void start(Timers timers) {
         for (ScheduledChange scheduled : changes) {
             if (scheduled.atSeconds() <= 0) {
--- a/lab/src/test/java/fawnlb/lab/engine/EngineTest.java
+++ b/lab/src/test/java/fawnlb/lab/engine/EngineTest.java
@@ -4,7 +4,6 @@
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.lab.engine.Engine.Sequence;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.math3.random.Well19937c;
@@ -14,8 +13,8 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
     private static final EngineProfile PROFILE = new EngineProfile("k", 2, 1, 10_000, 1000, 10, 1, 10_000, 1, 3, 5);
-    private static final Engine.SlowStartProfile SLOW_START =
-            new Engine.SlowStartProfile(0.5, 10 * NANOS_PER_SECOND, 4, 3 * NANOS_PER_SECOND);
+    private static final SlowStartProfile SLOW_START =
+            new SlowStartProfile(0.5, 10 * NANOS_PER_SECOND, 4, 3 * NANOS_PER_SECOND);
 
     private final List<String> tokens = new ArrayList<>();
 
@@ -23,23 +22,23 @@
         return new Sequence(session, 0, prompt, 0, out, last -> tokens.add(name + (last ? "!" : "")));
     }
 
-    /** Runs so many steps; how long the last one took, in milliseconds. */
+    /** Runs this number of steps and returns how long the last one took, in milliseconds. */
     private static double runSteps(Engine engine, long now, int count) {
-        double took = 0;
+        double stepMillis = 0;
         for (int i = 0; i < count; i++) {
-            took = (engine.beginStep(now) - now) / (double) NANOS_PER_MILLI;
+            stepMillis = (engine.beginStep(now) - now) / (double) NANOS_PER_MILLI;
             engine.endStep();
         }
-        return took;
+        return stepMillis;
     }
 
     @Test
     public void stepPrefillsOneChunkAndDecodesOneTokenPerPrefilledSequence() {
         Engine engine = new Engine(PROFILE, SLOW_START, 0);
         assertTrue(engine.offer(0, sequence("a", 1, 1500, 2)));
-        assertEquals("1000 read", 10 + 100, runSteps(engine, 0, 1), 1e-6);
-        assertEquals("500 read", 10 + 50, runSteps(engine, 0, 1), 1e-6);
-        assertEquals("one token made", 10 + 1, runSteps(engine, 0, 1), 1e-6);
+        assertEquals("1000 prompt tokens processed", 10 + 100, runSteps(engine, 0, 1), 1e-6);
+        assertEquals("500 prompt tokens processed", 10 + 50, runSteps(engine, 0, 1), 1e-6);
+        assertEquals("one token generated", 10 + 1, runSteps(engine, 0, 1), 1e-6);
         assertEquals(List.of("a"), tokens);
         runSteps(engine, 0, 1);
         assertEquals(List.of("a", "a!"), tokens);
@@ -94,41 +93,42 @@
         assertEquals(11 * 3 / 0.5, runSteps(engine, NANOS_PER_SECOND, 1), 1e-6);
     }
 
-    /** A prompt of 1000 and one token are 106 ms of work: within 3 s a cold box takes 4 x 0.5 x 3 s of it. */
+    /**
+     * A prompt of 1000 and one token are 106 ms of work: within 3 s an engine in its slow start takes 4 x 0.5 x 3 s of
+     * it.
+     */
     @Test
     public void overloadDuringSlowStartCollapsesTheEngine() {
-        double work = PROFILE.workMillis(1000, 1);
-        int most = (int) (4 * 0.5 * 3000 / work);
+        double workMillis = PROFILE.workMillis(1000, 1);
+        int maxRequests = (int) (4 * 0.5 * 3000 / workMillis);
         for (int extra : new int[] {0, 1}) {
             Engine engine = new Engine(PROFILE, SLOW_START, NANOS_PER_SECOND);
-            for (int i = 0; i < most + extra; i++) {
+            for (int i = 0; i < maxRequests + extra; i++) {
                 engine.offer(NANOS_PER_SECOND, sequence("a", i, 1000, 1));
             }
             assertEquals(extra == 1, engine.isCollapsed());
         }
-        Engine warm = new Engine(PROFILE, SLOW_START, 0);
-        for (int i = 0; i < 10 * most; i++) {
-            warm.offer(NANOS_PER_SECOND, sequence("a", i, 1000, 1));
+        Engine started = new Engine(PROFILE, SLOW_START, 0);
+        for (int i = 0; i < 10 * maxRequests; i++) {
+            started.offer(NANOS_PER_SECOND, sequence("a", i, 1000, 1));
         }
-        assertFalse("a warm one is full and lives", warm.isCollapsed());
+        assertFalse("after its slow start the engine is full and stays up", started.isCollapsed());
         Engine spread = new Engine(PROFILE, SLOW_START, NANOS_PER_SECOND);
-        for (int i = 0; i < 2 * most; i++) {
-            spread.offer(NANOS_PER_SECOND + i * 10 * NANOS_PER_SECOND / most, sequence("a", i, 1000, 1));
+        for (int i = 0; i < 2 * maxRequests; i++) {
+            spread.offer(NANOS_PER_SECOND + i * 10 * NANOS_PER_SECOND / maxRequests, sequence("a", i, 1000, 1));
         }
         assertFalse(spread.isCollapsed());
     }
 
     @Test
     public void profileDrawIsDeterministicPerSeedAndWithinItsRanges() {
-        assertEquals(EngineProfile.draw(true, new Well19937c(3)), EngineProfile.draw(true, new Well19937c(3)));
+        assertEquals(EngineProfile.drawFullRate(new Well19937c(3)), EngineProfile.drawFullRate(new Well19937c(3)));
         for (int seed = 0; seed < 50; seed++) {
-            EngineProfile kind = EngineProfile.draw(seed % 2 == 0, new Well19937c(seed));
-            assertTrue(
-                    kind.toString(),
-                    kind.speedFactor() >= 0.64
-                            && kind.speedFactor() <= 1.1
-                            && kind.maxRunning() >= 25
-                            && kind.maxRunning() <= 96);
+            Well19937c random = new Well19937c(seed);
+            EngineProfile profile =
+                    seed % 2 == 0 ? EngineProfile.drawFullRate(random) : EngineProfile.drawSlowRate(random);
+            assertTrue(profile.toString(), profile.speedFactor() >= 0.64 && profile.speedFactor() <= 1.1);
+            assertTrue(profile.toString(), profile.maxRunning() >= 25 && profile.maxRunning() <= 96);
         }
     }
 
--- a/lab/src/test/java/fawnlb/lab/rules/RuleCheckerTest.java
+++ b/lab/src/test/java/fawnlb/lab/rules/RuleCheckerTest.java
@@ -2,12 +2,11 @@
 
 import static org.junit.Assert.assertEquals;
 
-import fawnlb.lab.rules.RuleChecker.Rule;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.junit.Test;
 
-/** Each rule is broken on purpose once, and kept as narrowly as may be once. */
+/** Each rule is violated once, and kept by the smallest possible margin. */
 public class RuleCheckerTest {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -22,16 +21,16 @@
     public void completedRequestViolatesNoRule() {
         assertEquals(Set.of(), violationsAfter(rules -> {
             rules.onAttemptReceived(0, "r", "a", () -> true);
-            rules.onAttemptEnded(NANOS_PER_MILLI, "r", "a", true, 7);
-            rules.onResponseCompleted("r", true, 7);
+            rules.onAttemptCompleted(NANOS_PER_MILLI, "r", "a", 7);
+            rules.onResponseServed("r", 7);
         }));
     }
 
     @Test
     public void duplicateOrMissingResponseIsAViolation() {
         assertEquals(Set.of(Rule.EXACTLY_ONE_RESPONSE), violationsAfter(rules -> {
-            rules.onResponseCompleted("r", false, 0);
-            rules.onResponseCompleted("r", false, 0);
+            rules.onErrorResponse("r");
+            rules.onErrorResponse("r");
         }));
         assertEquals(Set.of(Rule.EXACTLY_ONE_RESPONSE), violationsAfter(rules -> rules.onConnectionLost("r")));
     }
@@ -41,18 +40,18 @@
         assertEquals(Set.of(Rule.NO_CONCURRENT_ATTEMPTS), violationsAfter(rules -> {
             rules.onAttemptReceived(0, "r", "a", () -> true);
             rules.onAttemptReceived(NANOS_PER_MILLI, "r", "b", () -> true);
-            rules.onAttemptEnded(200 * NANOS_PER_MILLI, "r", "a", false, 0);
+            rules.onAttemptCancelled(200 * NANOS_PER_MILLI, "r", "a");
         }));
-        // The end of the first is read just after the second has come.
+        // The end of the first attempt is read just after the second has begun.
         assertEquals(Set.of(), violationsAfter(rules -> {
             rules.onAttemptReceived(0, "r", "a", () -> true);
             rules.onAttemptReceived(NANOS_PER_MILLI, "r", "b", () -> true);
-            rules.onAttemptEnded(2 * NANOS_PER_MILLI, "r", "a", false, 0);
+            rules.onAttemptCancelled(2 * NANOS_PER_MILLI, "r", "a");
         }));
         assertEquals(Set.of(), violationsAfter(rules -> {
             rules.onAttemptReceived(0, "r", "a", () -> false);
             rules.onAttemptReceived(NANOS_PER_MILLI, "r", "b", () -> true);
-            rules.onAttemptEnded(200 * NANOS_PER_MILLI, "r", "b", false, 0);
+            rules.onAttemptCancelled(200 * NANOS_PER_MILLI, "r", "b");
         }));
     }
 
@@ -81,11 +80,11 @@
     public void forwardedDeadlineBeyondTheClientsIsAViolation() {
         assertEquals(Set.of(Rule.FORWARDED_DEADLINE), violationsAfter(rules -> {
             rules.setDeadline("r", 1000 * NANOS_PER_MILLI);
-            rules.told(100 * NANOS_PER_MILLI, "r", 1051 * NANOS_PER_MILLI);
+            rules.onDeadlineForwarded(100 * NANOS_PER_MILLI, "r", 1051 * NANOS_PER_MILLI);
         }));
         assertEquals(Set.of(), violationsAfter(rules -> {
             rules.setDeadline("r", 1000 * NANOS_PER_MILLI);
-            rules.told(100 * NANOS_PER_MILLI, "r", 1050 * NANOS_PER_MILLI);
+            rules.onDeadlineForwarded(100 * NANOS_PER_MILLI, "r", 1050 * NANOS_PER_MILLI);
         }));
     }
 
@@ -102,7 +101,7 @@
             rules.onExecutionStarted("r");
             rules.onRequestRejected("r");
         }));
-        assertEquals("turned away by the first", Set.of(), violationsAfter(rules -> {
+        assertEquals("rejected by the first", Set.of(), violationsAfter(rules -> {
             rules.markNonIdempotent("r");
             rules.onAttemptReceived(0, "r", "a", () -> false);
             rules.onAttemptReceived(NANOS_PER_MILLI, "r", "b", () -> false);
@@ -117,8 +116,8 @@
             rules.onAttemptReceived(0, "r", "a", () -> true);
             rules.onIdleConnectionClosed("r");
         }));
-        assertEquals("a reset that came from outside", Set.of(), violationsAfter(rules -> {
-            rules.setNodeExcused("n0", true);
+        assertEquals("a reset with an external reason", Set.of(), violationsAfter(rules -> {
+            rules.excuseNode("n0");
             rules.onConnectionLost("r");
         }));
     }
@@ -129,7 +128,7 @@
             assertEquals(attempts == 6 ? Set.of() : Set.of(Rule.ATTEMPT_LIMIT), violationsAfter(rules -> {
                 for (int i = 0; i < attempts; i++) {
                     rules.onAttemptReceived(i, "r", "a", () -> false);
-                    rules.onAttemptEnded(i, "r", "a", false, 0);
+                    rules.onAttemptCancelled(i, "r", "a");
                 }
             }));
         }
@@ -137,46 +136,50 @@
 
     @Test
     public void attemptAfterDrainGracePeriodIsAViolation() {
-        Object[][] cases = {
-            {700L, "n0", true, false}, {900L, "n0", true, true}, {900L, "n1", true, false}, {900L, "n0", false, false}
-        };
-        for (Object[] row : cases) {
-            assertEquals(
-                    (boolean) row[3] ? Set.of(Rule.NO_ATTEMPT_TO_DRAINING_BACKEND) : Set.of(),
-                    violationsAfter(rules -> {
-                        rules.told(0, (String) row[1], "a", (boolean) row[2]);
-                        rules.onAttemptReceived((long) row[0] * NANOS_PER_MILLI, "r", "a", () -> true);
-                    }));
-        }
-        assertEquals(
-                "one that is listed again, or told to a node that knows nothing of it",
-                Set.of(),
-                violationsAfter(rules -> {
-                    rules.told(0, "n0", "a", true);
-                    rules.told(NANOS_PER_MILLI, "n0", "a", false);
-                    rules.onAttemptReceived(900 * NANOS_PER_MILLI, "r", "a", () -> true);
-                    rules.told(0, "n0", "b", true);
-                    rules.onNodeRestarted("n0");
-                }));
+        assertEquals(Set.of(), violationsOfAttemptAfterDrain("n0", 700));
+        assertEquals(Set.of(Rule.NO_ATTEMPT_TO_DRAINING_BACKEND), violationsOfAttemptAfterDrain("n0", 900));
+        assertEquals("another node was notified", Set.of(), violationsOfAttemptAfterDrain("n1", 900));
+    }
+
+    /** Returns the violations of an attempt of node n0 this time after a node was notified of a drain. */
+    private static Set<Rule> violationsOfAttemptAfterDrain(String notifiedNode, long millis) {
+        return violationsAfter(rules -> {
+            rules.onDrainNotified(0, notifiedNode, "a");
+            rules.onAttemptReceived(millis * NANOS_PER_MILLI, "r", "a", () -> true);
+        });
+    }
+
+    @Test
+    public void attemptToBackendThatIsReadyOrUnknownIsNoViolation() {
+        assertEquals("ready all the time", Set.of(), violationsAfter(rules -> {
+            rules.onReadyNotified("n0", "a");
+            rules.onAttemptReceived(900 * NANOS_PER_MILLI, "r", "a", () -> true);
+        }));
+        assertEquals("ready again, or drained before the node restarted", Set.of(), violationsAfter(rules -> {
+            rules.onDrainNotified(0, "n0", "a");
+            rules.onReadyNotified("n0", "a");
+            rules.onAttemptReceived(900 * NANOS_PER_MILLI, "r", "a", () -> true);
+            rules.onDrainNotified(0, "n0", "b");
+            rules.onNodeRestarted("n0");
+        }));
     }
 
     @Test
     public void collapsedBackendIsAViolation() {
-        assertEquals(
-                Set.of(Rule.NO_OVERLOAD_IN_SLOW_START), violationsAfter(rules -> rules.onBackendCollapsed(0, "a")));
+        assertEquals(Set.of(Rule.NO_OVERLOAD_IN_SLOW_START), violationsAfter(rules -> rules.onBackendCollapsed("a")));
     }
 
     @Test
     public void unknownResponseOrRequestIsAViolation() {
         assertEquals(Set.of(Rule.RESPONSE_MATCHES_BACKEND), violationsAfter(rules -> {
             rules.onAttemptReceived(0, "r", "a", () -> true);
-            rules.onAttemptEnded(NANOS_PER_MILLI, "r", "a", true, 7);
-            rules.onResponseCompleted("r", true, 8);
+            rules.onAttemptCompleted(NANOS_PER_MILLI, "r", "a", 7);
+            rules.onResponseServed("r", 8);
         }));
-        assertEquals("cut off by its box", Set.of(Rule.RESPONSE_MATCHES_BACKEND), violationsAfter(rules -> {
+        assertEquals("truncated by its backend", Set.of(Rule.RESPONSE_MATCHES_BACKEND), violationsAfter(rules -> {
             rules.onAttemptReceived(0, "r", "a", () -> true);
-            rules.onAttemptEnded(NANOS_PER_MILLI, "r", "a", false, 0);
-            rules.onResponseCompleted("r", true, 7);
+            rules.onAttemptCancelled(NANOS_PER_MILLI, "r", "a");
+            rules.onResponseServed("r", 7);
         }));
         assertEquals(
                 Set.of(Rule.RESPONSE_MATCHES_BACKEND),
--- a/lab/src/test/java/fawnlb/lab/scenario/StreamFaultsIT.java
+++ b/lab/src/test/java/fawnlb/lab/scenario/StreamFaultsIT.java
@@ -8,6 +8,6 @@
 public class StreamFaultsIT {
     @Test
     public void sampledFaultsEndInOneClearFinalResponse() throws Exception {
-        assertTrue(new StreamFaults().run(1, true).print(System.out));
+        assertTrue(new StreamFaults().run(1, RunLength.QUICK).print(System.out));
     }
 }
