--- a/node/src/main/java/fawnlb/platform/PlatformHandler.java
+++ b/node/src/main/java/fawnlb/platform/PlatformHandler.java
@@ -18,6 +18,7 @@
 import io.undertow.util.Headers;
 import io.undertow.util.Methods;
 import io.undertow.util.StatusCodes;
+import java.util.function.Supplier;
 
 /** The platform's protocol for clients: a thin front of the core. */
 public final class PlatformHandler implements HttpHandler {
@@ -29,8 +30,7 @@
     private final InFlightRequestIds inFlightIds;
     private final RequestHeaderParser headerParser;
     private final boolean translationRequired;
-    private volatile boolean endpointsKnown;
-    private volatile boolean draining;
+    private final Supplier<Readiness> readiness;
 
     /** Mixed: some backends speak the other dialect, so that every request must be one that can be translated. */
     public PlatformHandler(
@@ -38,35 +38,20 @@
             RequestBodyReader bodyReader,
             InFlightRequestIds inFlightIds,
             LoadBalancerSettings settings,
-            boolean translationRequired) {
+            boolean translationRequired,
+            Supplier<Readiness> readiness) {
         this.requestProxy = requestProxy;
         this.bodyReader = bodyReader;
         this.inFlightIds = inFlightIds;
         this.headerParser = new RequestHeaderParser(settings);
         this.translationRequired = translationRequired;
-    }
-
-    /**
-     * Discovery has answered or failed: until then the node does not know where to send, and others that do are better
-     * asked.
-     */
-    public void onEndpointsKnown() {
-        endpointsKnown = true;
-    }
-
-    /** From here on readiness is denied. */
-    public void beginGracefulShutdown() {
-        draining = true;
+        this.readiness = readiness;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         switch (exchange.getRequestPath()) {
-            case "/health/ready" ->
-                sendText(
-                        exchange,
-                        endpointsKnown && !draining ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE,
-                        draining ? "draining" : endpointsKnown ? "ready" : "waiting for discovery");
+            case "/health/ready" -> sendReadiness(exchange);
             case "/v1/chat/completions" -> {
                 if (exchange.getRequestMethod().equals(Methods.POST)) {
                     bodyReader.receive(exchange, this::handleBody, PlatformHandler::sendText);
@@ -79,6 +64,11 @@
         }
     }
 
+    private void sendReadiness(HttpServerExchange exchange) {
+        Readiness current = readiness.get();
+        sendText(exchange, current.statusCode(), current.text());
+    }
+
     private void handleBody(HttpServerExchange exchange, byte[] body) {
         IncomingRequest request;
         OutboundRequest.ResponseSummary responseSummary = new OutboundRequest.ResponseSummary(false);
--- a/node/src/main/java/fawnlb/server/EndpointPublisher.java
+++ b/node/src/main/java/fawnlb/server/EndpointPublisher.java
@@ -11,7 +11,6 @@
 import fawnlb.discovery.EndpointStartTimes;
 import fawnlb.eventloop.Timers;
 import fawnlb.proxy.RequestProxy;
-import fawnlb.restore.RestoredEndpointFilter;
 import fawnlb.snapshot.SnapshotRecorder;
 import fawnlb.translation.Dialect;
 import java.net.InetSocketAddress;
@@ -21,40 +20,46 @@
 import java.util.stream.Collectors;
 
 /**
- * Hands on what discovery says: to the connections to backends, to the core, to the record on disk, and to the node's
- * readiness. It belongs to the I/O thread.
+ * Publishes what discovery says of the endpoints: to the snapshot recorder, the backend pool, the request proxy, and
+ * the readiness gate. All methods are called on the I/O thread, but {@link #connect}, which is called before discovery
+ * starts.
  */
 final class EndpointPublisher implements DiscoveryListener {
     private final LoadBalancerSettings settings;
     private final Set<String> messagesApiKinds;
     private final BackendPool backends;
     private final Timers timers;
+    private final ReadinessGate readiness;
     private final EndpointStartTimes startTimes = new EndpointStartTimes();
-    private final long startedAt;
     private RequestProxy requestProxy;
     private SnapshotRecorder snapshotRecorder;
-    private Runnable onEndpointsKnown;
 
-    /** Message kinds: kinds of backend that speak the messages interface. */
+    /**
+     * Creates a publisher that must be {@linkplain #connect connected} before discovery starts.
+     *
+     * @param messagesApiKinds the kinds of endpoints that offer the messages API
+     */
     EndpointPublisher(
-            LoadBalancerSettings settings, Set<String> messagesApiKinds, BackendPool backends, Timers timers) {
+            LoadBalancerSettings settings,
+            Set<String> messagesApiKinds,
+            BackendPool backends,
+            Timers timers,
+            ReadinessGate readiness) {
         this.settings = settings;
         this.messagesApiKinds = messagesApiKinds;
         this.backends = backends;
         this.timers = timers;
-        this.startedAt = timers.now();
+        this.readiness = readiness;
     }
 
     /**
-     * To be called before discovery is.
+     * Sets the receivers that need discovery themselves, and so are created after this publisher.
      *
-     * @param recorder what has the list written down, null if nothing does
-     * @param endpointsKnown told when the node knows where to send, or that discovery can't say
+     * @param recorder writes snapshots of the endpoint list, null if none are written
      */
-    void connect(RequestProxy proxy, SnapshotRecorder recorder, Runnable endpointsKnown) {
+    void connect(RequestProxy proxy, SnapshotRecorder recorder) {
         requestProxy = proxy;
         snapshotRecorder = recorder;
-        onEndpointsKnown = endpointsKnown;
     }
 
     @Override
@@ -66,7 +71,7 @@
                 list == null
                         ? new LoadBalancerEvent.EndpointsUpdated(kind, 0, List.of())
                         : toEndpointsUpdated(kind, list));
-        updateReadiness(kind);
+        readiness.onDiscoveryUpdate(kind);
     }
 
     @Override
@@ -74,20 +79,6 @@
         startTimes.recordContact(timers.now());
     }
 
-    /**
-     * Readiness waits for discovery's first word or failure, since nobody would know where to send. A discovery with
-     * more callers than it can serve is waited for a little longer: what it could tell already holds for this node.
-     */
-    private void updateReadiness(EndpointUpdateKind kind) {
-        if (kind == EndpointUpdateKind.THROTTLED) {
-            timers.schedule(
-                    Math.max(0, startedAt + RestoredEndpointFilter.MAX_THROTTLED_WAIT_NANOS - timers.now()),
-                    onEndpointsKnown);
-        } else if (kind != EndpointUpdateKind.CACHED) {
-            onEndpointsKnown.run();
-        }
-    }
-
     private LoadBalancerEvent.EndpointsUpdated toEndpointsUpdated(EndpointUpdateKind kind, EndpointList list) {
         startTimes.recordStarts(list, timers.now());
         if (kind != EndpointUpdateKind.CACHED) {
@@ -98,26 +89,26 @@
                     list.endpoints().stream().map(DiscoveredEndpoint::numericId).collect(Collectors.toSet()));
         }
         List<Endpoint> endpoints = new ArrayList<>();
-        for (DiscoveredEndpoint member : list.endpoints()) {
+        for (DiscoveredEndpoint discovered : list.endpoints()) {
             backends.updateBackend(
-                    member.numericId(),
-                    new InetSocketAddress(member.host(), member.port()),
-                    member.upSinceMillis(),
-                    member.phase(),
-                    messagesApiKinds.contains(member.kind()) ? Dialect.MESSAGES : Dialect.CHAT);
-            endpoints.add(toEndpoint(member));
+                    discovered.numericId(),
+                    new InetSocketAddress(discovered.host(), discovered.port()),
+                    discovered.upSinceMillis(),
+                    discovered.phase(),
+                    messagesApiKinds.contains(discovered.kind()) ? Dialect.MESSAGES : Dialect.CHAT);
+            endpoints.add(toEndpoint(discovered));
         }
         return new LoadBalancerEvent.EndpointsUpdated(kind, list.revision(), endpoints);
     }
 
-    private Endpoint toEndpoint(DiscoveredEndpoint member) {
+    private Endpoint toEndpoint(DiscoveredEndpoint discovered) {
         return new Endpoint(
-                member.numericId(),
-                member.phase(),
-                startTimes.startedAt(member),
-                member.size(),
-                Math.max(0, settings.names().zones().indexOf(member.zone())),
-                member.cell(),
-                Math.max(0, settings.names().kinds().indexOf(member.kind())));
+                discovered.numericId(),
+                discovered.phase(),
+                startTimes.startedAt(discovered),
+                discovered.size(),
+                Math.max(0, settings.names().zones().indexOf(discovered.zone())),
+                discovered.cell(),
+                Math.max(0, settings.names().kinds().indexOf(discovered.kind())));
     }
 }
--- /dev/null
+++ b/node/src/main/java/fawnlb/server/HttpListeners.java
@@ -0,0 +1,91 @@
+package fawnlb.server;
+
+import fawnlb.client.ClientConnectionTracker;
+import fawnlb.client.ClientRequestHandler;
+import fawnlb.client.Listener;
+import fawnlb.client.ListenerGroup;
+import io.undertow.UndertowOptions;
+import io.undertow.server.DefaultByteBufferPool;
+import io.undertow.server.HttpHandler;
+import io.undertow.server.protocol.http.HttpOpenListener;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import org.xnio.OptionMap;
+
+/**
+ * Sets up the server's HTTP listeners, with their limits on heads and sockets. It is used on the thread that starts the
+ * server; the handlers run on the I/O thread.
+ */
+final class HttpListeners {
+    private static final int IO_BUFFER_BYTES = 8192;
+    private static final int MAX_POOLED_BUFFERS = 256;
+    /**
+     * A head of 62 headers was measured to hold 22 KB of the heap while it is read, and 30 KB with a limit of 16 KiB.
+     * 635 clients, as many as 1,024 descriptors leave, hold 14 MB with such heads at a time.
+     */
+    private static final int MAX_REQUEST_HEAD_BYTES = 8 * 1024;
+
+    private static final int MAX_REQUEST_HEADERS = 64;
+    private static final int LISTEN_BACKLOG_CONNECTIONS = 1000;
+    /**
+     * By default Linux buffers megabytes for a client that does not read, which hides from the server that it is slow.
+     */
+    private static final int CLIENT_SEND_BUFFER_BYTES = 64 * 1024;
+
+    private final EventLoop eventLoop;
+    private final ClientConnectionTracker connections;
+    private final StartupRetry startupRetry;
+    private final ListenerGroup listeners = new ListenerGroup();
+
+    HttpListeners(EventLoop eventLoop, ClientConnectionTracker connections, StartupRetry startupRetry) {
+        this.eventLoop = eventLoop;
+        this.connections = connections;
+        this.startupRetry = startupRetry;
+    }
+
+    /**
+     * Binds a listener and starts to accept connections.
+     *
+     * @param maxConnections how many connections of this listener may be open; those beyond wait in the kernel's queue
+     * @throws IOException if the address cannot be bound within the time that {@link StartupRetry} allows
+     */
+    void open(InetSocketAddress address, HttpHandler handler, int maxConnections) throws IOException {
+        HttpOpenListener httpListener = createHttpListener(handler);
+        Listener.Limits limits =
+                new Listener.Limits(maxConnections, LISTEN_BACKLOG_CONNECTIONS, CLIENT_SEND_BUFFER_BYTES);
+        Listener.ConnectionHandler connectionHandler =
+                (connection, queuedNanos) -> connections.accept(connection, queuedNanos, httpListener);
+        Listener listener = startupRetry.run(
+                address.toString(), () -> new Listener(address, limits, eventLoop.timers(), connectionHandler));
+        listener.start(eventLoop.thread());
+        listeners.add(listener);
+    }
+
+    private HttpOpenListener createHttpListener(HttpHandler handler) {
+        HttpOpenListener httpListener = new HttpOpenListener(
+                new DefaultByteBufferPool(true, IO_BUFFER_BYTES, MAX_POOLED_BUFFERS, 0),
+                OptionMap.builder()
+                        .set(UndertowOptions.MAX_HEADER_SIZE, MAX_REQUEST_HEAD_BYTES)
+                        .set(UndertowOptions.MAX_HEADERS, MAX_REQUEST_HEADERS)
+                        .getMap());
+        httpListener.setRootHandler(new ClientRequestHandler(connections, handler));
+        return httpListener;
+    }
+
+    /** The address of a listener, counted from 0 in the order in which they were opened. */
+    InetSocketAddress addressAt(int index) {
+        return listeners.addressAt(index);
+    }
+
+    /**
+     * Accepts the connections that wait in the kernel's queues, closes the listeners, and returns when that is done.
+     */
+    void closeGracefully() throws InterruptedException {
+        listeners.closeGracefully(eventLoop.thread());
+    }
+
+    /** Closes the listeners at once. The kernel resets the connections that wait in its queues. */
+    void closeNow() {
+        listeners.closeNow();
+    }
+}
--- a/node/src/main/java/fawnlb/server/Server.java
+++ b/node/src/main/java/fawnlb/server/Server.java
@@ -3,27 +3,18 @@
 import fawnlb.admin.AdminHandler;
 import fawnlb.backend.BackendPool;
 import fawnlb.client.ClientConnectionTracker;
-import fawnlb.client.ClientRequestHandler;
 import fawnlb.client.InFlightRequestIds;
-import fawnlb.client.Listener;
-import fawnlb.client.ListenerGroup;
 import fawnlb.config.MessagesConfiguration;
 import fawnlb.config.ServerConfiguration;
 import fawnlb.config.StartupConfiguration;
 import fawnlb.config.StreamConfiguration;
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.discovery.DiscoveryClient;
-import fawnlb.eventloop.EventLoopCall;
-import fawnlb.eventloop.EventLoopTimers;
-import fawnlb.eventloop.EventLoopWatchdog;
-import fawnlb.eventloop.Mailbox;
-import fawnlb.eventloop.Timers;
 import fawnlb.filter.EndpointFilter;
 import fawnlb.filter.EndpointFilterChain;
 import fawnlb.http.RequestBodyReader;
 import fawnlb.messages.BrokerHandler;
 import fawnlb.messages.RequestLog;
-import fawnlb.metrics.Metrics;
 import fawnlb.platform.PlatformHandler;
 import fawnlb.policy.BoundedLoadBalancer;
 import fawnlb.proxy.RequestProxy;
@@ -33,90 +24,59 @@
 import fawnlb.stream.StreamRegistry;
 import fawnlb.syslog.SyslogFormatter;
 import fawnlb.syslog.SyslogSender;
-import io.undertow.UndertowOptions;
-import io.undertow.server.DefaultByteBufferPool;
-import io.undertow.server.HttpHandler;
-import io.undertow.server.protocol.http.HttpOpenListener;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import java.util.concurrent.RejectedExecutionException;
-import java.util.concurrent.TimeUnit;
 import java.util.logging.Logger;
-import org.xnio.OptionMap;
-import org.xnio.Options;
-import org.xnio.Xnio;
-import org.xnio.XnioIoThread;
-import org.xnio.XnioWorker;
 
-/** One running node: its actors, all on one I/O thread, and its planned end. */
+/**
+ * One running server. It creates the parts, connects them, and starts them; what they do, they do on the one I/O
+ * thread. The methods may be called on any other thread.
+ */
 public final class Server {
     private static final Logger LOG = Logger.getLogger(Server.class.getName());
-    private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final long HEALTH_CHECK_TIMEOUT_NANOS = NANOS_PER_SECOND / 2;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     /**
-     * A second answer comes some milliseconds late, says the operators' page; ten times as long is still little to
-     * wait.
+     * How long a connection to a backend stays unused between two requests. A faulty backend sends a second response
+     * some milliseconds after the first; the delay, ten times as long, keeps it from being read as that to the next
+     * request.
      */
-    public static final long CONNECTION_REUSE_DELAY_NANOS = NANOS_PER_SECOND / 20;
-    /** New connections keep coming for up to 0.4 s after SIGTERM. */
-    private static final long ACCEPT_GRACE_PERIOD_MILLIS = 600;
-    /** A planned end looks so often at what is left. */
-    private static final long DRAIN_POLL_INTERVAL_MILLIS = 20;
-    /** How often a planned end says what it waits for. */
-    private static final long DRAIN_LOG_INTERVAL_NANOS = 5 * NANOS_PER_SECOND;
+    public static final long CONNECTION_REUSE_DELAY_NANOS = 50 * NANOS_PER_MILLI;
 
-    private static final int MAILBOX_CAPACITY = 8192;
-    private static final int IO_BUFFER_BYTES = 8192;
-    /**
-     * A client's head may be so long and have so many headers, and takes so long at most. One of 62 headers was
-     * measured to hold 22 KB of the heap while it is read, and 30 KB with 16 KiB; 635 clients, as many as 1,024
-     * descriptors leave, can hold 14 MB with them at a time.
-     */
-    private static final int MAX_REQUEST_HEAD_BYTES = 8 * 1024;
-
-    private static final int MAX_REQUEST_HEADERS = 64;
-    private static final long REQUEST_HEAD_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
-    /** A connection without a request may be closed after 2 s, and one that stays silent must be within 3 s. */
-    private static final long CLIENT_IDLE_TIMEOUT_NANOS = 2300 * NANOS_PER_SECOND / 1000;
+    private static final long HEALTH_CHECK_TIMEOUT_NANOS = 500 * NANOS_PER_MILLI;
+    private static final long REQUEST_HEAD_TIMEOUT_NANOS = 2000 * NANOS_PER_MILLI;
+    /** The platform allows to close a connection without a request after 2 s, and demands it within 3 s. */
+    private static final long CLIENT_IDLE_TIMEOUT_NANOS = 2300 * NANOS_PER_MILLI;
 
-    private static final int LISTEN_BACKLOG_CONNECTIONS = 1000;
+    private static final long BODY_SHARE_OF_HEAP_DIVISOR = 4;
     /**
-     * Bodies may hold so much, and a quarter of the heap at most: heads, streams and what stays for good need the rest.
+     * What all buffered bodies of requests may hold together: a quarter of the heap at most, since heads, streams and
+     * what lives for good need the rest.
      */
     private static final long MAX_BUFFERED_BODY_BYTES =
-            Math.min(16L << 20, Runtime.getRuntime().maxMemory() / 4);
-    /** Linux would hold megabytes for a client that does not read, and hide from the node that it does not. */
-    private static final int CLIENT_SEND_BUFFER_BYTES = 64 * 1024;
-    /**
-     * Descriptors for all else: 22 of the process (jars, selectors, log), 6 of listeners, syslog and snapshot, 4 of the
-     * list and a configuration that is read again, 12 connections kept only to be refused, 4 of operators.
-     */
-    private static final int RESERVED_DESCRIPTORS = 48;
-
-    private static final int MAX_ADMIN_CONNECTIONS = 4;
+            Math.min(16L << 20, Runtime.getRuntime().maxMemory() / BODY_SHARE_OF_HEAP_DIVISOR);
 
     private final ServerConfiguration configuration;
     private final MessagesConfiguration messages;
     private final StartupConfiguration startup;
     private final StreamConfiguration streaming;
-    private final ListenerGroup listeners = new ListenerGroup();
+    private final DescriptorBudget descriptors;
+    private final StartupRetry startupRetry = new StartupRetry(() -> this.shutdownRequested);
+    private volatile boolean shutdownRequested;
+    private EventLoop eventLoop;
     private ClientConnectionTracker connections;
-    private final Object shutdownLock = new Object();
-    private boolean isShutDown;
-    private boolean isStarted;
-    private volatile boolean isShutdownRequested;
-    private final StartupRetry startupRetry = new StartupRetry(() -> isShutdownRequested);
-    private XnioWorker worker;
-    private PlatformHandler front;
+    private HttpListeners listeners;
     private RequestProxy requestProxy;
     private DiscoveryClient discovery;
+    /** Null until the server has started. */
+    private GracefulShutdown gracefulShutdown;
 
     /**
-     * Broker: the second front's configuration, null if it is off. Start: what is remembered, and how it is believed.
-     * Stream: when streams are given up.
+     * Creates a server that does nothing until it is started.
+     *
+     * @param messages the messages API's configuration, null if the server does not offer it
      */
     public Server(
             ServerConfiguration configuration,
@@ -127,87 +87,102 @@
         this.messages = messages;
         this.startup = startup;
         this.streaming = streaming;
+        this.descriptors = new DescriptorBudget(configuration.maxDescriptors());
     }
 
+    /**
+     * Starts the server and returns when all its listeners accept connections.
+     *
+     * @throws IOException if an address cannot be bound or a thread not be started for the time that
+     *     {@link StartupRetry} allows, or if a shutdown was requested meanwhile
+     */
     public synchronized void start() throws IOException {
-        LoadBalancerSettings settings = configuration.settings();
-        worker = startupRetry.run("I/O thread", Server::createWorker);
-        XnioIoThread thread = worker.getIoThread();
-        EventLoopTimers timers = new EventLoopTimers(thread);
-        connections = new ClientConnectionTracker(
-                new ClientConnectionTracker.Limits(
-                        maxClientConnections(configuration), CLIENT_IDLE_TIMEOUT_NANOS, REQUEST_HEAD_TIMEOUT_NANOS),
-                timers);
+        eventLoop = startupRetry.run("I/O thread", EventLoop::start);
+        ReadinessGate readiness = new ReadinessGate(eventLoop.timers());
+        connections = createConnectionTracker();
+        listeners = new HttpListeners(eventLoop, connections, startupRetry);
         StreamRegistry streams = new StreamRegistry(streaming.timeouts());
-        BackendPool backends = createBackends(thread, timers, streams);
-        RestoredEndpoints restored = RestoredEndpoints.read(startup, configuration.initialEndpoints(), timers.now());
-        SnapshotRecorder recorder = createSnapshotRecorder(thread, timers, restored);
+        BackendPool backends = createBackendPool(streams);
+        startRequestProxy(backends, readiness);
+        openListeners(readiness);
+        openAdminListener(new AdminHandler(streams, backends::describeAddress));
+        eventLoop.startWatchdog();
+        gracefulShutdown = new GracefulShutdown(eventLoop, readiness, listeners, connections, requestProxy);
+        LOG.info(configuration.name() + " serves on " + address(0)
+                + (messages == null ? "" : ", teams on " + address(1)));
+    }
+
+    private ClientConnectionTracker createConnectionTracker() {
+        ClientConnectionTracker.Limits limits = new ClientConnectionTracker.Limits(
+                descriptors.maxClientConnections(), CLIENT_IDLE_TIMEOUT_NANOS, REQUEST_HEAD_TIMEOUT_NANOS);
+        return new ClientConnectionTracker(limits, eventLoop.timers());
+    }
+
+    private BackendPool createBackendPool(StreamRegistry streams) {
+        LoadBalancerSettings settings = configuration.settings();
+        BackendPool.Limits limits = new BackendPool.Limits(
+                settings.connectionTimeouts().connectTimeoutNanos(),
+                settings.connectionTimeouts().idleTimeoutNanos(),
+                CONNECTION_REUSE_DELAY_NANOS,
+                HEALTH_CHECK_TIMEOUT_NANOS,
+                descriptors.maxBackendConnections(),
+                settings.loadReportFields());
+        return new BackendPool(eventLoop.thread(), eventLoop.timers(), limits, streams);
+    }
+
+    /** Starts the proxy and, with the endpoints that are already known, discovery. */
+    private void startRequestProxy(BackendPool backends, ReadinessGate readiness) {
+        RestoredEndpoints restored = RestoredEndpoints.read(
+                startup, configuration.initialEndpoints(), eventLoop.timers().now());
+        SnapshotRecorder recorder = createSnapshotRecorder(restored);
         List<EndpointFilter> filters = createEndpointFilters(recorder, restored);
-        EndpointPublisher publisher = new EndpointPublisher(settings, messagesApiKinds(), backends, timers);
+        EndpointPublisher publisher = new EndpointPublisher(
+                configuration.settings(), messagesApiKinds(), backends, eventLoop.timers(), readiness);
         discovery = new DiscoveryClient(
-                thread, timers, new Mailbox(thread, MAILBOX_CAPACITY), configuration.discoveryAddress(), publisher);
-        // Where lists are pushed, it is to an agent on this machine, and the node has to ask that one.
+                eventLoop.thread(),
+                eventLoop.timers(),
+                eventLoop.newMailbox(),
+                configuration.discoveryAddress(),
+                publisher);
+        // Where endpoint lists are pushed, they are pushed to an agent on this machine, which the server has to poll.
         requestProxy = new RequestProxy(
-                settings.withWatchedDiscovery(),
+                configuration.settings().withWatchedDiscovery(),
                 configuration.seed(),
-                (s, seed, sink) -> new EndpointFilterChain(filters, BoundedLoadBalancer::new, s, seed, sink),
-                new Mailbox(thread, MAILBOX_CAPACITY),
-                timers,
+                (settings, seed, sink) ->
+                        new EndpointFilterChain(filters, BoundedLoadBalancer::new, settings, seed, sink),
+                eventLoop.newMailbox(),
+                eventLoop.timers(),
                 backends,
                 discovery);
-        RequestBodyReader bodyReader = new RequestBodyReader(MAX_BUFFERED_BODY_BYTES);
-        InFlightRequestIds requestIds = new InFlightRequestIds();
-        front = new PlatformHandler(
-                requestProxy,
-                bodyReader,
-                requestIds,
-                settings,
-                !messagesApiKinds().isEmpty());
         if (startup.isListTrusted()) {
-            front.onEndpointsKnown();
+            readiness.onEndpointsKnown();
         }
-        publisher.connect(requestProxy, recorder, front::onEndpointsKnown);
+        publisher.connect(requestProxy, recorder);
         discovery.startFromCachedList(restored.endpointList());
-        openFronts(bodyReader, requestIds, thread, timers);
-        openAdmin(new AdminHandler(streams, backends::describeAddress), timers);
-        startWatchdog(thread, timers);
-        isStarted = true;
-        LOG.info(configuration.name() + " serves on " + address(0)
-                + (messages == null ? "" : ", teams on " + address(1)));
-    }
-
-    private void openFronts(
-            RequestBodyReader bodyReader, InFlightRequestIds requestIds, XnioIoThread thread, EventLoopTimers timers)
-            throws IOException {
-        int connectionsPerListener = connections.maxAcceptedConnections() / (messages == null ? 1 : 2);
-        listen(configuration.listenAddress(), front, connectionsPerListener, timers);
-        if (messages != null) {
-            listen(
-                    messages.listenAddress(),
-                    new BrokerHandler(
-                            requestProxy,
-                            bodyReader,
-                            requestIds,
-                            configuration.settings(),
-                            messages.contracts(),
-                            timers,
-                            createRequestLog(thread, timers)),
-                    connectionsPerListener,
-                    timers);
-        }
     }
 
-    private void openAdmin(AdminHandler admin, EventLoopTimers timers) throws IOException {
-        if (streaming.adminAddress() != null) {
-            listen(streaming.adminAddress(), admin, MAX_ADMIN_CONNECTIONS, timers);
+    /** Creates the recorder of snapshots, or returns null if the configuration names no file for them. */
+    private SnapshotRecorder createSnapshotRecorder(RestoredEndpoints restored) {
+        if (startup.snapshotFile() == null) {
+            return null;
         }
-        if (streaming.statisticsLogIntervalNanos() > 0) {
-            admin.scheduleStatisticsLog(streaming.statisticsLogIntervalNanos(), timers);
+        SnapshotRecorder recorder = new SnapshotRecorder(
+                eventLoop.newMailbox(),
+                eventLoop.newBlockingTaskMailbox(),
+                eventLoop.timers(),
+                new SnapshotStore(startup.snapshotFile()),
+                startup.snapshotPacing());
+        if (restored.snapshot() != null) {
+            recorder.restore(restored.snapshot());
         }
+        return recorder;
     }
 
     private List<EndpointFilter> createEndpointFilters(SnapshotRecorder recorder, RestoredEndpoints restored) {
-        List<EndpointFilter> filters = new ArrayList<>(recorder == null ? List.of() : List.of(recorder));
+        List<EndpointFilter> filters = new ArrayList<>();
+        if (recorder != null) {
+            filters.add(recorder);
+        }
         if (!startup.isListTrusted()) {
             filters.add(new RestoredEndpointFilter(
                     startup.restoreRules(), configuration.seed(), restored.lastHeardNanos(), LOG::info));
@@ -215,193 +190,101 @@
         return filters;
     }
 
-    private static XnioWorker createWorker() throws IOException {
-        return Xnio.getInstance()
-                .createWorker(OptionMap.builder()
-                        .set(Options.WORKER_IO_THREADS, 1)
-                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
-                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                        .set(Options.THREAD_DAEMON, false)
-                        .getMap());
-    }
-
-    private BackendPool createBackends(XnioIoThread thread, EventLoopTimers timers, StreamRegistry streams) {
-        LoadBalancerSettings settings = configuration.settings();
-        return new BackendPool(
-                thread,
-                timers,
-                new BackendPool.Limits(
-                        settings.connectionTimeouts().connectTimeoutNanos(),
-                        settings.connectionTimeouts().idleTimeoutNanos(),
-                        CONNECTION_REUSE_DELAY_NANOS,
-                        HEALTH_CHECK_TIMEOUT_NANOS,
-                        maxBackendConnections(configuration),
-                        settings.loadReportFields()),
-                streams);
+    private void openListeners(ReadinessGate readiness) throws IOException {
+        RequestBodyReader bodyReader = new RequestBodyReader(MAX_BUFFERED_BODY_BYTES);
+        InFlightRequestIds requestIds = new InFlightRequestIds();
+        int listenerCount = messages == null ? 1 : 2;
+        int maxConnections = connections.maxAcceptedConnections() / listenerCount;
+        PlatformHandler platform = new PlatformHandler(
+                requestProxy,
+                bodyReader,
+                requestIds,
+                configuration.settings(),
+                !messagesApiKinds().isEmpty(),
+                readiness::readiness);
+        listeners.open(configuration.listenAddress(), platform, maxConnections);
+        if (messages != null) {
+            BrokerHandler broker = new BrokerHandler(
+                    requestProxy,
+                    bodyReader,
+                    requestIds,
+                    configuration.settings(),
+                    messages.contracts(),
+                    eventLoop.timers(),
+                    createRequestLog());
+            listeners.open(messages.listenAddress(), broker, maxConnections);
+        }
     }
 
-    private void startWatchdog(XnioIoThread thread, EventLoopTimers timers) {
-        EventLoopWatchdog watchdog = new EventLoopWatchdog(thread, thread::getStackTrace, LOG::severe);
-        Thread watchdogThread = new Thread(
-                () -> {
-                    try {
-                        while (thread.isAlive()) {
-                            watchdog.check(timers.now());
-                            TimeUnit.NANOSECONDS.sleep(EventLoopWatchdog.CHECK_INTERVAL_NANOS);
-                        }
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    } catch (RejectedExecutionException e) {
-                        LOG.fine("the I/O thread has ended");
-                    }
-                },
-                "watchdog");
-        watchdogThread.setDaemon(true);
-        watchdogThread.start();
+    private RequestLog createRequestLog() throws IOException {
+        MessagesConfiguration.SyslogConfiguration syslog = messages.syslog();
+        if (syslog == null) {
+            return RequestLog.disabled();
+        }
+        SyslogFormatter formatter = new SyslogFormatter(
+                syslog.facility(),
+                configuration.listenAddress().getHostString(),
+                "fawnlb",
+                Long.toString(ProcessHandle.current().pid()));
+        SyslogSender sender = new SyslogSender(
+                eventLoop.thread(),
+                eventLoop.timers(),
+                eventLoop.newMailbox(),
+                syslog.collectorAddress(),
+                syslog.isTcp());
+        return new RequestLog(formatter, sender);
     }
 
-    /** The actor that writes the list down, null if it is not to be. */
-    private SnapshotRecorder createSnapshotRecorder(
-            XnioIoThread thread, EventLoopTimers timers, RestoredEndpoints restored) {
-        if (startup.snapshotFile() == null) {
-            return null;
+    private void openAdminListener(AdminHandler admin) throws IOException {
+        if (streaming.adminAddress() != null) {
+            listeners.open(streaming.adminAddress(), admin, DescriptorBudget.MAX_ADMIN_CONNECTIONS);
         }
-        SnapshotRecorder recorder = new SnapshotRecorder(
-                new Mailbox(thread, MAILBOX_CAPACITY),
-                new Mailbox(worker, 1),
-                timers,
-                new SnapshotStore(startup.snapshotFile()),
-                startup.snapshotPacing());
-        if (restored.snapshot() != null) {
-            recorder.restore(restored.snapshot());
+        if (streaming.statisticsLogIntervalNanos() > 0) {
+            admin.scheduleStatisticsLog(streaming.statisticsLogIntervalNanos(), eventLoop.timers());
         }
-        return recorder;
     }
 
-    /** Clients hold a third of the descriptors for requests at most, and each flow has one attempt out. */
-    private static int maxBackendConnections(ServerConfiguration configuration) {
-        return configuration.maxDescriptors() / 3;
-    }
-
-    /** All others but those of the process, for clients also keep connections on which they ask nothing. */
-    private static int maxClientConnections(ServerConfiguration configuration) {
-        return configuration.maxDescriptors() - maxBackendConnections(configuration) - RESERVED_DESCRIPTORS;
+    private Set<String> messagesApiKinds() {
+        return messages == null ? Set.of() : messages.messagesApiKinds();
     }
 
-    /** Where the platform's front (0), the broker's or the admin listener (in this order, if they are on) listens. */
+    /**
+     * The address of a listener: that of the platform's API is 0, and those of the messages API and of the
+     * administrators follow in this order if they are configured.
+     */
     public InetSocketAddress address(int listenerIndex) {
         return listeners.addressAt(listenerIndex);
     }
 
-    /** Flows that are not over, or whose attempt is still out. */
+    /** The number of requests that have no answer yet or whose attempt still runs. */
     public int openRequests() {
         return requestProxy.openRequests();
     }
 
-    /**
-     * Most: connections that are accepted here and still open. Those beyond wait in the kernel's queue until one has
-     * closed.
-     */
-    private void listen(InetSocketAddress address, HttpHandler handler, int maxConnections, Timers timers)
-            throws IOException {
-        HttpOpenListener httpListener = new HttpOpenListener(
-                new DefaultByteBufferPool(true, IO_BUFFER_BYTES, 256, 0),
-                OptionMap.builder()
-                        .set(UndertowOptions.MAX_HEADER_SIZE, MAX_REQUEST_HEAD_BYTES)
-                        .set(UndertowOptions.MAX_HEADERS, MAX_REQUEST_HEADERS)
-                        .getMap());
-        httpListener.setRootHandler(new ClientRequestHandler(connections, handler));
-        Listener listener = startupRetry.run(
-                address.toString(),
-                () -> new Listener(
-                        address,
-                        new Listener.Limits(maxConnections, LISTEN_BACKLOG_CONNECTIONS, CLIENT_SEND_BUFFER_BYTES),
-                        timers,
-                        (connection, queuedNanos) -> connections.accept(connection, queuedNanos, httpListener)));
-        listener.start(worker.getIoThread());
-        listeners.add(listener);
-    }
-
-    private RequestLog createRequestLog(XnioIoThread thread, EventLoopTimers timers) throws IOException {
-        MessagesConfiguration.SyslogConfiguration syslog = messages.syslog();
-        if (syslog == null) {
-            return RequestLog.disabled();
-        }
-        return new RequestLog(
-                new SyslogFormatter(
-                        syslog.facility(),
-                        configuration.listenAddress().getHostString(),
-                        "fawnlb",
-                        Long.toString(ProcessHandle.current().pid())),
-                new SyslogSender(
-                        thread,
-                        timers,
-                        new Mailbox(thread, MAILBOX_CAPACITY),
-                        syslog.collectorAddress(),
-                        syslog.isTcp()));
-    }
-
-    private Set<String> messagesApiKinds() {
-        return messages == null ? Set.of() : messages.messagesApiKinds();
-    }
-
-    /** SIGHUP: the list comes from where the new configuration says; all else stays as the node was started. */
+    /** Moves discovery to the address that the new configuration names. All other settings stay as they are. */
     public synchronized void reload(ServerConfiguration newConfiguration) {
         discovery.changeAddress(newConfiguration.discoveryAddress());
     }
 
     /**
-     * SIGTERM: takes what still comes for a moment, answers all that was taken, and ends. Whoever asks again waits for
-     * it. A start that is under way comes to its end before, for it may have let clients in.
+     * Shuts the server down as {@link GracefulShutdown} does. A start that is under way ends first, since it may have
+     * accepted connections; a server that has not started does nothing.
      */
     public void shutDownGracefully() {
-        isShutdownRequested = true;
-        synchronized (shutdownLock) {
-            if (!isShutDown && isStarted()) {
-                front.beginGracefulShutdown();
-                connections.beginGracefulShutdown();
-                requestProxy.beginGracefulShutdown();
-                try {
-                    Thread.sleep(ACCEPT_GRACE_PERIOD_MILLIS);
-                    requestProxy.stopAdmitting();
-                    listeners.closeGracefully(worker.getIoThread());
-                    awaitInFlightRequests();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-                LOG.info("ended; " + Metrics.summary());
-                isShutDown = true;
-            }
-        }
-    }
-
-    private synchronized boolean isStarted() {
-        return isStarted;
-    }
-
-    private void awaitInFlightRequests() throws InterruptedException {
-        long startedAt = System.nanoTime();
-        long nextLogNanos = DRAIN_LOG_INTERVAL_NANOS;
-        for (int openConnections = closeIdleConnections();
-                openConnections > 0 || requestProxy.openRequests() > 0;
-                openConnections = closeIdleConnections()) {
-            if (System.nanoTime() - startedAt > nextLogNanos) {
-                LOG.info("ending: " + openConnections + " clients and " + requestProxy.openRequests()
-                        + " flows are still being served");
-                nextLogNanos += DRAIN_LOG_INTERVAL_NANOS;
-            }
-            Thread.sleep(DRAIN_POLL_INTERVAL_MILLIS);
+        shutdownRequested = true;
+        GracefulShutdown shutdown = shutdownOfStartedServer();
+        if (shutdown != null) {
+            shutdown.run();
         }
     }
 
-    /** Idle connections close only now: while others are accepted, a client that is closed upon comes back at once. */
-    private int closeIdleConnections() throws InterruptedException {
-        return EventLoopCall.callAndWait(worker.getIoThread(), connections::closeIdleConnections);
+    private synchronized GracefulShutdown shutdownOfStartedServer() {
+        return gracefulShutdown;
     }
 
-    /** Ends at once, whatever is being served. */
+    /** Ends the server at once, whatever it serves. */
     public void stopNow() {
         listeners.closeNow();
-        worker.shutdownNow();
+        eventLoop.stopNow();
     }
 }
