--- a/node/src/main/java/fawnlb/admin/AdminHandler.java
+++ b/node/src/main/java/fawnlb/admin/AdminHandler.java
@@ -56,7 +56,7 @@
     }
 
     private String formatTargets() {
-        return StreamStatisticsFormatter.toText(streams.statistics(), backendAddresses) + streams.open()
+        return StreamStatisticsFormatter.toText(streams.statistics(), backendAddresses) + streams.openStreams()
                 + " stream(s) open, " + streams.bufferedBytes() + " byte(s) held for their readers\n";
     }
 
--- a/node/src/main/java/fawnlb/backend/AttemptExchange.java
+++ b/node/src/main/java/fawnlb/backend/AttemptExchange.java
@@ -6,6 +6,7 @@
 import fawnlb.proxy.ResponseSource;
 import fawnlb.stream.EndReason;
 import fawnlb.stream.ResponseStream;
+import fawnlb.stream.StreamParameters;
 import fawnlb.stream.StreamRegistry;
 import fawnlb.translation.Dialect;
 import java.io.IOException;
@@ -60,16 +61,13 @@
 
     /** Registers the attempt's stream; called once, before {@link #start}. */
     void openStream() {
-        stream = backend()
-                .streams()
-                .open(
-                        now(),
-                        backend().identity().id(),
-                        parameters.promptTokens(),
-                        parameters.responseDeadlineNanos(),
-                        parameters.retryPossible(),
-                        request.isStreamed(),
-                        this);
+        StreamParameters streamParameters = new StreamParameters(
+                backend().identity().id(),
+                parameters.promptTokens(),
+                parameters.responseDeadlineNanos(),
+                parameters.retryPossible(),
+                request.isStreamed());
+        stream = backend().streams().open(now(), streamParameters, this);
         wakeTimer = new StreamWakeTimer(stream, backend().timers(), this::tell);
         wakeTimer.schedule();
     }
--- a/node/src/main/java/fawnlb/stream/AttemptEnd.java
+++ b/node/src/main/java/fawnlb/stream/AttemptEnd.java
@@ -2,24 +2,28 @@
 
 import fawnlb.decision.AttemptOutcome;
 
-/** An end and where it struck: the one name that the log, the syslog record and the client's answer use. */
+/**
+ * How an attempt has ended, and how far its response had come. Its label is the one name that the log, the syslog
+ * record, the metrics and the client's error response use.
+ */
 public record AttemptEnd(EndReason reason, ResponseProgress progress) {
 
-    /** For ends that don't depend on how far the answer had come. */
+    /** Returns an end for which it does not matter how far the response had come. */
     public static AttemptEnd of(EndReason reason) {
         return new AttemptEnd(reason, ResponseProgress.BEFORE_HEAD);
     }
 
-    /** Such as {@code stalled-midway} or {@code reader-left}. */
+    /** Returns the end's name, such as {@code stalled-midway} or {@code reader-left}. */
     public String label() {
         return reason.dependsOnProgress() ? reason.label() + '-' + progress.label() : reason.label();
     }
 
-    /** Whether the backend said nothing in time, rather than something wrong. */
+    /** Whether the backend sent nothing in time, rather than something wrong. */
     public boolean isTimeout() {
         return reason == EndReason.STALLED || reason == EndReason.TIMED_OUT;
     }
 
+    /** What the load balancer is told. */
     public AttemptOutcome outcome() {
         return reason.outcome();
     }
--- a/node/src/main/java/fawnlb/stream/EndReason.java
+++ b/node/src/main/java/fawnlb/stream/EndReason.java
@@ -2,37 +2,40 @@
 
 import fawnlb.decision.AttemptOutcome;
 
-/** How an attempt and its stream can end: its name, and what the decision module hears of it. */
+/**
+ * Why an attempt and its stream have ended. Each reason has a label, which logs, metrics and responses show, and an
+ * outcome, which the load balancer is told.
+ */
 public enum EndReason {
-    /** The answer is whole, and the client has all of it. */
+    /** The answer is complete, and the client has all of it or will get it. */
     COMPLETED("whole", AttemptOutcome.SERVED, false),
-    /** The backend finds the request itself wrong, and its words went to the client. */
+    /** The backend found the request itself wrong, and its error goes to the client. */
     REJECTED("rejected", AttemptOutcome.SERVED, false),
-    /** The backend did not take the request. */
+    /** The backend answered that it did not run the request, or a health check was not answered with 200. */
     NOT_ACCEPTED("turned-away", AttemptOutcome.FULL, false),
-    /** The backend answered with an error. */
+    /** The backend answered with an error of its own. */
     BACKEND_ERROR("failed", AttemptOutcome.ERROR, false),
-    /** No connection came up, or it broke before the request's last byte. */
+    /** No connection came up, or it was lost before the request's last byte was written. */
     CONNECT_FAILED("not-connected", AttemptOutcome.CONNECT_FAILED, false),
-    /** The request was not sent, for a reason of the node's own. */
+    /** The request was not sent, for a reason on this instance's side. */
     NOT_SENT("not-sent", AttemptOutcome.NEVER_SENT, false),
-    /** The backend's connection stayed open and said nothing for longer than is believed. */
+    /** The backend's connection stayed open and was silent for too long. */
     STALLED("stalled", AttemptOutcome.STALLED, true),
     /** The backend's connection was closed or reset. */
     CONNECTION_LOST("broken", AttemptOutcome.RESET, true),
-    /** What the backend sent can't be read, or is longer than is kept. */
+    /** The response can't be read, or is longer than is buffered. */
     MALFORMED("unreadable", AttemptOutcome.RESET, true),
-    /** The framing ended, the answer did not. */
+    /** The response's framing ended before the answer was complete. */
     TRUNCATED("cut-short", AttemptOutcome.RESET, true),
-    /** The time set for the attempt was up. */
+    /** The attempt's deadline passed. */
     TIMED_OUT("out-of-time", AttemptOutcome.TIMEOUT, false),
-    /** The node stopped waiting for it. */
+    /** The load balancer cancelled the attempt. */
     CANCELLED("called-off", AttemptOutcome.CANCELLED, false),
     /** The client closed its connection. */
     CLIENT_DISCONNECTED("reader-left", AttemptOutcome.CANCELLED, false),
-    /** The client's connection took no byte for the stated time. */
+    /** The client read nothing for the client timeout. */
     CLIENT_STALLED("reader-stopped", AttemptOutcome.CANCELLED, false),
-    /** The bytes held for all streams came to their limit, and this stream's reader had taken none for longest. */
+    /** Too many bytes were buffered for all streams, and this stream was the one to be evicted. */
     BUFFER_LIMIT_REACHED("crowded-out", AttemptOutcome.CANCELLED, false);
 
     private final String label;
@@ -45,16 +48,17 @@
         this.dependsOnProgress = dependsOnProgress;
     }
 
+    /** The reason's name in logs, metrics, the admin page and error responses. */
     public String label() {
         return label;
     }
 
-    /** What the decision module hears. */
+    /** What the load balancer is told. */
     public AttemptOutcome outcome() {
         return outcome;
     }
 
-    /** Whether it matters where in the answer it struck. */
+    /** Whether the label of an attempt's end also states how far the response had come. */
     public boolean dependsOnProgress() {
         return dependsOnProgress;
     }
--- a/node/src/main/java/fawnlb/stream/ResponseProgress.java
+++ b/node/src/main/java/fawnlb/stream/ResponseProgress.java
@@ -1,6 +1,6 @@
 package fawnlb.stream;
 
-/** How far an answer had come. */
+/** How far a response has come; the label is part of an end's name. */
 public enum ResponseProgress {
     BEFORE_HEAD("before-head"),
     BEFORE_FIRST_EVENT("before-event"),
@@ -12,6 +12,7 @@
         this.label = label;
     }
 
+    /** The progress in the label of an attempt's end. */
     public String label() {
         return label;
     }
--- a/node/src/main/java/fawnlb/stream/ResponseStream.java
+++ b/node/src/main/java/fawnlb/stream/ResponseStream.java
@@ -1,75 +1,66 @@
 package fawnlb.stream;
 
 /**
- * One attempt and its stream, from its sending until neither side is owed anything. Whoever carries it out tells it
- * what happens and wakes it at {@link #wakeAtNanos}; what it decides reaches its owner.
+ * One attempt and the stream of its response, from the attempt's beginning until both the backend's and the client's
+ * side have ended.
+ *
+ * <p>The exchange that carries the attempt out reports here what happens on either side, and calls {@link #wake} at the
+ * time of {@link #wakeAtNanos}. What the stream decides, it tells its {@link StreamRegistry.Owner}, in the middle of
+ * the call that led to the decision. Belongs to the thread of its registry.
  */
 public final class ResponseStream {
-    /** Nothing is waited for. */
+    /** The time of something that is not expected to happen. */
     public static final long NEVER = Long.MAX_VALUE;
 
-    /** A thread that comes to its timers so late has not come to what was sent in the meantime either. */
+    /**
+     * A wake that comes this much later than asked for comes from a thread that was held up, and that may not have read
+     * yet what arrived meanwhile. It is put off by the delay below, so that the thread can read first.
+     */
     private static final long LATE_WAKE_NANOS = 100_000_000;
 
     private static final long RECHECK_DELAY_NANOS = 50_000_000;
+
+    /** On a thread that is always late, the stream must end all the same. */
     private static final int MAX_RECHECKS = 4;
-    /** A reader that has taken nothing for so long has stopped, for the time being. */
+
+    /** A client that has read nothing for this long has stopped reading, for the time being. */
     private static final long CLIENT_IDLE_NANOS = 1_000_000_000;
-    /** Another attempt needs about so many times the usual wait. */
-    private static final int RETRY_WAIT_MULTIPLE = 2;
 
     private final StreamRegistry registry;
-    private final long backend;
-    private final double promptTokens;
-    private final long sentAtNanos;
-    private final long responseDeadlineNanos;
-    private final boolean canRetry;
-    private final boolean isEventStream;
+    private final long backendId;
     private final StreamRegistry.Owner owner;
+    private final SilenceDetector silence;
     private StreamState state = StreamState.AWAITING_HEAD;
     private ResponseProgress progress = ResponseProgress.BEFORE_HEAD;
     private AttemptEnd attemptEnd;
-    private long silenceSinceNanos;
-    private long clientProgressAtNanos;
     private long bufferedBytes;
-    private boolean isAwaitingBackend;
+    private boolean isAwaitingBackend = true;
     private boolean isClientBehind;
-    private boolean clientStallReported;
+    private long clientProgressAtNanos;
+    private boolean isClientStallReported;
     private int rechecks;
     private long recheckAtNanos;
-    private long silenceTimeoutAtNanos;
     private long plannedWakeNanos = NEVER;
+    /** When a silence of the backend has ended the stream, 0 while none has. */
+    private long silenceTimeoutAtNanos;
 
-    ResponseStream(
-            StreamRegistry registry,
-            long backend,
-            double promptTokens,
-            long nowNanos,
-            long responseDeadlineNanos,
-            boolean canRetry,
-            boolean isEventStream,
-            StreamRegistry.Owner owner) {
+    ResponseStream(StreamRegistry registry, StreamParameters parameters, long nowNanos, StreamRegistry.Owner owner) {
         this.registry = registry;
-        this.backend = backend;
-        this.promptTokens = promptTokens;
-        this.sentAtNanos = nowNanos;
-        this.silenceSinceNanos = nowNanos;
-        this.responseDeadlineNanos = responseDeadlineNanos;
-        this.canRetry = canRetry;
-        this.isEventStream = isEventStream;
+        this.backendId = parameters.backendId();
         this.owner = owner;
-        this.isAwaitingBackend = true;
+        this.silence = new SilenceDetector(registry, parameters, nowNanos);
     }
 
-    long backend() {
-        return backend;
+    long backendId() {
+        return backendId;
     }
 
+    /** The state of both sides together. */
     public StreamState state() {
         return state;
     }
 
-    /** Null until the backend's side or the client's has ended it. */
+    /** How the attempt has ended, null until one of the sides has ended it. */
     public AttemptEnd attemptEnd() {
         return attemptEnd;
     }
@@ -77,47 +68,44 @@
     private void apply(StreamEvent event) {
         StreamState next = StreamStateMachine.stateAfter(state, event);
         if (next != null && next != state) {
-            StreamState from = state;
+            StreamState previous = state;
             state = next;
-            if (next == StreamState.CLOSED && attemptEnd == null) {
-                attemptEnd = new AttemptEnd(EndReason.CLIENT_DISCONNECTED, progress);
+            if (next == StreamState.CLOSED) {
+                recordEnd(EndReason.CLIENT_DISCONNECTED);
             }
-            registry.onStateChanged(this, from, next);
+            registry.onStateChanged(this, previous, next);
         }
     }
 
+    /** The first reason counts. */
     private void recordEnd(EndReason reason) {
         if (attemptEnd == null) {
             attemptEnd = new AttemptEnd(reason, progress);
         }
     }
 
-    // ---- The backend's side ----------------------------------------------------------------------------
+    // ---- The backend's side --------------------------------------------------------------------------------
 
-    /** A head was read; with an answer, or with none. */
+    /** The head of a response was read. It is an answer if its body goes to the client. */
     public void onHead(long nowNanos, boolean isAnswer) {
         restartSilence(nowNanos);
-        progress = isAnswer ? ResponseProgress.BEFORE_FIRST_EVENT : progress;
+        if (isAnswer) {
+            progress = ResponseProgress.BEFORE_FIRST_EVENT;
+        }
         apply(isAnswer ? StreamEvent.RESPONSE_HEAD : StreamEvent.ERROR_HEAD);
     }
 
-    /** Bytes came that hold nothing for the client yet; the next are waited for. */
+    /** Bytes were read that hold nothing for the client yet; the next are waited for. */
     public void onPartialData(long nowNanos) {
         restartSilence(nowNanos);
-        if (state == StreamState.STALLED && progress == ResponseProgress.BEFORE_FIRST_EVENT) {
-            apply(StreamEvent.RESPONSE_HEAD);
-        } else {
-            apply(StreamEvent.PARTIAL_DATA);
-        }
+        boolean endsStallBeforeFirstEvent =
+                state == StreamState.STALLED && progress == ResponseProgress.BEFORE_FIRST_EVENT;
+        apply(endsStallBeforeFirstEvent ? StreamEvent.RESPONSE_HEAD : StreamEvent.PARTIAL_DATA);
     }
 
-    /** Bytes for the client came: none are waited for until it has taken them. */
+    /** Bytes for the client were read. The backend is not waited for until the client has read them. */
     public void onChunk(long nowNanos, int bytes) {
-        if (isEventStream && progress != ResponseProgress.AFTER_FIRST_EVENT) {
-            registry.latencyBaseline().wait(backend, promptTokens, nowNanos - sentAtNanos);
-        } else if (isEventStream) {
-            registry.latencyBaseline().gap(backend, nowNanos - silenceSinceNanos);
-        }
+        silence.recordChunk(nowNanos, progress);
         progress = ResponseProgress.AFTER_FIRST_EVENT;
         restartSilence(nowNanos);
         isAwaitingBackend = false;
@@ -126,97 +114,95 @@
     }
 
     private void restartSilence(long nowNanos) {
-        silenceSinceNanos = nowNanos;
+        silence.restart(nowNanos);
         rechecks = 0;
         recheckAtNanos = 0;
     }
 
-    /** So many bytes are kept until the answer is whole, or can be put into the client's words. */
+    /** Sets how many bytes wait to be relayed, until an event or the whole response is there. May evict streams. */
     public void setBufferedBytes(long bytes) {
         changeBufferedBytes(bytes - bufferedBytes);
-        registry.enforceBufferLimit();
-        if (registry.isOverBufferLimit() && attemptEnd == null) {
+        registry.bufferLimit().enforce();
+        if (registry.bufferLimit().isExceeded() && attemptEnd == null) {
             evict();
         }
     }
 
     private void changeBufferedBytes(long change) {
         bufferedBytes += change;
-        registry.onBufferedBytesChanged(this, change);
+        registry.changeBufferedBytes(this, change);
     }
 
-    /** The answer is whole and on its way to the client; {@code end}: it may be the backend's own refusal. */
+    /** The response is complete and on its way to the client, be it an answer or the backend's rejection. */
     public void onResponseComplete(EndReason reason) {
         recordEnd(reason);
         isAwaitingBackend = false;
         apply(StreamEvent.RESPONSE_COMPLETE);
         if (state != StreamState.FLUSHING) {
-            // Nothing was shown of it: it is over for both sides.
+            // The client was sent nothing of it, so both sides have ended.
             close();
         }
     }
 
-    /** The backend's side is over and gives the client nothing more. */
+    /** The backend's side has ended before the response was complete; the client gets nothing more. */
     public void onBackendEnded(EndReason reason) {
         if (state == StreamState.FLUSHING || state == StreamState.CLOSED) {
             return;
         }
         recordEnd(reason);
         isAwaitingBackend = false;
-        if (reason == EndReason.STALLED
-                && isEventStream
-                && progress != ResponseProgress.AFTER_FIRST_EVENT
-                && silenceTimeoutAtNanos > 0) {
-            registry.latencyBaseline().recordAbandonedWait(backend, promptTokens, silenceTimeoutAtNanos - sentAtNanos);
+        boolean hasClientData = progress == ResponseProgress.AFTER_FIRST_EVENT;
+        if (reason == EndReason.STALLED && !hasClientData && silenceTimeoutAtNanos > 0) {
+            silence.recordAbandonedWait(silenceTimeoutAtNanos);
         }
         apply(StreamEvent.BACKEND_ENDED);
-        if (progress != ResponseProgress.AFTER_FIRST_EVENT) {
+        if (!hasClientData) {
             close();
         }
     }
 
-    // ---- The client's side ----------------------------------------------------------------------------
+    // ---- The client's side ---------------------------------------------------------------------------------
 
-    /** The client took all that was held for it, and the backend is waited for from now on. */
+    /** The client has read all that was sent to it; the backend is waited for from now on. */
     public void onClientCaughtUp(long nowNanos) {
         restartSilence(nowNanos);
         isClientBehind = false;
         isAwaitingBackend = attemptEnd == null;
-        registry.onClientCaughtUp(this);
+        registry.bufferLimit().onClientCaughtUp(this);
         changeBufferedBytes(-bufferedBytes);
         apply(StreamEvent.CLIENT_CAUGHT_UP);
     }
 
-    /** The client could not take all; so many bytes are left. */
+    /** The client's connection does not take all that was sent to it; the given number of bytes are left. */
     public void onClientBackpressure(long nowNanos, int remainingBytes) {
         boolean hasProgressed = remainingBytes < bufferedBytes;
         if (!isClientBehind || hasProgressed) {
             clientProgressAtNanos = nowNanos;
-            registry.onClientProgress(this);
+            registry.bufferLimit().onClientProgress(this);
         }
         apply(isClientBehind && hasProgressed ? StreamEvent.CLIENT_PROGRESS : StreamEvent.CLIENT_BACKPRESSURE);
         isClientBehind = true;
         changeBufferedBytes(remainingBytes - bufferedBytes);
-        registry.enforceBufferLimit();
+        registry.bufferLimit().enforce();
     }
 
-    /** The client has all that it will get. */
+    /** The client's side has ended: it has all, or its connection is closed. */
     public void close() {
-        registry.onClientCaughtUp(this);
+        registry.bufferLimit().onClientCaughtUp(this);
         changeBufferedBytes(-bufferedBytes);
         apply(StreamEvent.CLIENT_CLOSED);
     }
 
+    /** Ends the stream because too many bytes are buffered. */
     void evict() {
-        // Its bytes go with its connection, in a moment; no other need go for them.
+        // The bytes go with the client's connection in a moment; counted until then, they would evict another stream.
         changeBufferedBytes(-bufferedBytes);
         abandon(EndReason.BUFFER_LIMIT_REACHED, StreamEvent.BACKEND_ENDED);
     }
 
     private void abandon(EndReason reason, StreamEvent event) {
-        recordEnd(reason);
-        if (attemptEnd.reason() != reason) {
-            // The backend's side was over; the client's is over now.
+        // If the backend's side has ended, with another reason, it is the client's side that ends now.
+        if (attemptEnd == null || attemptEnd.reason() != reason) {
             attemptEnd = new AttemptEnd(reason, progress);
         }
         isAwaitingBackend = false;
@@ -225,9 +211,9 @@
         owner.endStream(reason);
     }
 
-    // ---- Time -----------------------------------------------------------------------------------------
+    // ---- Time ----------------------------------------------------------------------------------------------
 
-    /** When to look at it again, at the latest; {@link #NEVER} if only after the next signal. */
+    /** Returns when to call {@link #wake}, {@link #NEVER} if not before the next report. */
     public long wakeAtNanos() {
         plannedWakeNanos = dueAtNanos();
         return plannedWakeNanos;
@@ -237,8 +223,10 @@
         if (state == StreamState.CLOSED || state == StreamState.ABORTED) {
             return NEVER;
         }
-        return Math.max(
-                recheckAtNanos, isClientBehind ? clientDueAtNanos() : isAwaitingBackend ? backendDueAtNanos() : NEVER);
+        if (isClientBehind) {
+            return Math.max(recheckAtNanos, clientDueAtNanos());
+        }
+        return isAwaitingBackend ? Math.max(recheckAtNanos, backendDueAtNanos()) : NEVER;
     }
 
     private long clientDueAtNanos() {
@@ -253,62 +241,15 @@
         return switch (state) {
             case DISCARDING_BODY -> NEVER;
             case STALLED -> silenceLimitNanos();
-            default -> Math.min(silenceLimitNanos(), silenceSuspectedAtNanos());
+            default -> Math.min(silenceLimitNanos(), silence.suspectedAtNanos(progress));
         };
     }
 
-    /** When the present silence has lasted too long. */
     private long silenceLimitNanos() {
-        StreamTimeouts timeouts = registry.timeouts();
-        if (progress == ResponseProgress.AFTER_FIRST_EVENT) {
-            return silenceSinceNanos
-                    + (registry.isSilenceCommon() ? timeouts.maxSilenceNanos() : registry.allowedGapNanos(backend));
-        }
-        // What follows a head is due soon, whatever is usual; what precedes it has the time that the module gave it.
-        long latest = progress == ResponseProgress.BEFORE_FIRST_EVENT
-                ? silenceSinceNanos + timeouts.maxSilenceNanos()
-                : NEVER;
-        // A first event that has begun is no longer waited for: its stream is sound while its pieces come.
-        return timeouts.isAdaptive() && isEventStream && canRetry && bufferedBytes == 0
-                ? Math.min(latest, firstEventLimitNanos())
-                : latest;
-    }
-
-    /** What remains must do for another attempt, or the wait goes on. */
-    private long firstEventLimitNanos() {
-        long limitNanos = firstEventSuspectedAtNanos();
-        if (limitNanos != NEVER && registry.isSilenceCommon()) {
-            limitNanos = Math.max(limitNanos, sentAtNanos + registry.timeouts().maxSilenceNanos());
-        }
-        return limitNanos
-                        > responseDeadlineNanos
-                                - RETRY_WAIT_MULTIPLE
-                                        * registry.latencyBaseline().medianWaitNanos(promptTokens)
-                ? NEVER
-                : limitNanos;
+        return silence.limitNanos(progress, bufferedBytes != 0);
     }
 
-    private long firstEventSuspectedAtNanos() {
-        long expectedNanos = registry.latencyBaseline()
-                .wait(backend, promptTokens, registry.timeouts().suspicionLevel());
-        return expectedNanos >= NEVER - sentAtNanos
-                ? NEVER
-                : sentAtNanos + Math.max(registry.timeouts().minFirstEventWaitNanos(), expectedNanos);
-    }
-
-    private long silenceSuspectedAtNanos() {
-        if (!registry.timeouts().isAdaptive() || !isEventStream) {
-            return NEVER;
-        }
-        if (progress != ResponseProgress.AFTER_FIRST_EVENT) {
-            return firstEventSuspectedAtNanos();
-        }
-        long expectedNanos =
-                registry.latencyBaseline().gap(backend, registry.timeouts().suspicionLevel());
-        return expectedNanos >= NEVER - silenceSinceNanos ? NEVER : silenceSinceNanos + expectedNanos;
-    }
-
-    /** The time of {@link #wakeAtNanos} has come, or an earlier one. */
+    /** Looks for a silence of the backend or the client that has lasted too long; calls before the time do nothing. */
     public void wake(long nowNanos) {
         if (nowNanos < dueAtNanos()) {
             return;
@@ -316,20 +257,26 @@
         if (nowNanos - plannedWakeNanos > LATE_WAKE_NANOS && rechecks < MAX_RECHECKS) {
             rechecks++;
             recheckAtNanos = nowNanos + RECHECK_DELAY_NANOS;
-            return;
+        } else if (isClientBehind) {
+            checkClient();
+        } else {
+            checkBackend(nowNanos);
         }
-        if (isClientBehind) {
-            if (state == StreamState.CLIENT_SLOW) {
-                apply(StreamEvent.CLIENT_IDLE);
-                if (!clientStallReported) {
-                    clientStallReported = true;
-                    owner.onClientStalled();
-                }
-            } else {
-                abandon(EndReason.CLIENT_STALLED, StreamEvent.CLIENT_TIMEOUT);
-            }
+    }
+
+    private void checkClient() {
+        if (state != StreamState.CLIENT_SLOW) {
+            abandon(EndReason.CLIENT_STALLED, StreamEvent.CLIENT_TIMEOUT);
             return;
         }
+        apply(StreamEvent.CLIENT_IDLE);
+        if (!isClientStallReported) {
+            isClientStallReported = true;
+            owner.onClientStalled();
+        }
+    }
+
+    private void checkBackend(long nowNanos) {
         apply(StreamEvent.SILENCE_SUSPECTED);
         if (nowNanos >= silenceLimitNanos()) {
             silenceTimeoutAtNanos = nowNanos;
--- a/node/src/main/java/fawnlb/stream/StreamRegistry.java
+++ b/node/src/main/java/fawnlb/stream/StreamRegistry.java
@@ -1,93 +1,75 @@
 package fawnlb.stream;
 
 import java.util.ArrayList;
-import java.util.EnumMap;
 import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
 
 /**
- * The decisions on all streams of a node: which silence is too long, which reader has stopped, and who goes when the
- * bytes held come to their limit. No I/O and no clock; times are nanoseconds of one clock that never goes back. It
- * belongs to one thread.
+ * All response streams of an instance, with what they share: the timeouts, the usual latencies of the backends, and the
+ * limit on buffered bytes.
+ *
+ * <p>It does no I/O and reads no clock: the caller passes the time, in nanoseconds of one clock that never goes back.
+ * Belongs to one thread, with all of its streams.
  */
 public final class StreamRegistry {
+    /** One or two silent backends are no sign that the whole fleet is slow. */
+    private static final int MIN_COMMON_STALLED_BACKENDS = 3;
+
     private final StreamTimeouts timeouts;
     private final LatencyBaseline latencyBaseline = new LatencyBaseline();
-    private final Map<Long, BackendRecord> backends = new HashMap<>();
-    /** Those whose readers lag, the one that has taken nothing for longest first. */
-    private final Set<ResponseStream> slowClients = new LinkedHashSet<>();
-
+    private final BufferLimit bufferLimit;
+    private final Map<Long, BackendStreams> backends = new HashMap<>();
     private int activeBackends;
     private int stalledBackends;
-    private long bufferedBytes;
 
-    /** Whoever carries a stream out. */
+    /** Carries out what a stream decides. */
     public interface Owner {
-        /** The stream is to end so, now. */
-        void endStream(EndReason end);
+        /** Ends the exchange now, for this reason. */
+        void endStream(EndReason reason);
 
-        /** The reader has stopped: for as long as it has, the stream is no work for its backend. Told once. */
+        /**
+         * The client has stopped reading: until it reads on, the stream is no work for its backend. Called once for a
+         * stream.
+         */
         void onClientStalled();
     }
 
-    /** What is kept of one backend while it is listed or has streams. */
-    private static final class BackendRecord {
-        private final Map<StreamState, Integer> streamsByState = new EnumMap<>(StreamState.class);
-        private final Map<String, Long> endsByLabel = new TreeMap<>();
-        private int openStreams;
-        private int stalledStreams;
-        private long bufferedBytes;
-        private boolean isRemoved;
-    }
-
+    /** Creates a registry without streams. */
     public StreamRegistry(StreamTimeouts timeouts) {
         this.timeouts = timeouts;
+        this.bufferLimit = new BufferLimit(timeouts.maxBufferedBytes());
     }
 
-    /**
-     * An attempt begins.
-     *
-     * @param promptTokens as the client told, 0 if it did not
-     * @param responseDeadlineNanos when its time is up
-     * @param canRetry whether another attempt could follow it
-     * @param isEventStream whether the answer comes as events, or whole and unannounced
-     */
-    public ResponseStream open(
-            long nowNanos,
-            long backend,
-            double promptTokens,
-            long responseDeadlineNanos,
-            boolean canRetry,
-            boolean isEventStream,
-            Owner owner) {
-        BackendRecord record = backends.computeIfAbsent(backend, key -> new BackendRecord());
-        record.isRemoved = false;
-        activeBackends += record.openStreams++ == 0 ? 1 : 0;
-        changeStateCount(record, StreamState.AWAITING_HEAD, 1);
-        return new ResponseStream(
-                this, backend, promptTokens, nowNanos, responseDeadlineNanos, canRetry, isEventStream, owner);
+    // ---- For the exchanges ---------------------------------------------------------------------------------
+
+    /** Opens the stream of an attempt that begins now. */
+    public ResponseStream open(long nowNanos, StreamParameters parameters, Owner owner) {
+        BackendStreams streams = backends.computeIfAbsent(parameters.backendId(), key -> new BackendStreams());
+        activeBackends += streams.hasStreams() ? 0 : 1;
+        streams.onOpened();
+        return new ResponseStream(this, parameters, nowNanos, owner);
     }
 
-    /** The backend is listed no more; what is known of it goes with its last stream. */
-    public void onBackendRemoved(long backend) {
-        BackendRecord record = backends.get(backend);
-        if (record != null) {
-            record.isRemoved = true;
-            dropIfUnused(backend, record);
+    /** The backend has left the endpoint list; what is known of it is dropped with its last stream. */
+    public void onBackendRemoved(long backendId) {
+        BackendStreams streams = backends.get(backendId);
+        if (streams != null) {
+            streams.onRemoved();
+            dropIfUnused(backendId, streams);
         }
     }
 
-    private void dropIfUnused(long backend, BackendRecord record) {
-        if (record.isRemoved && record.openStreams == 0) {
-            backends.remove(backend);
-            latencyBaseline.forget(backend);
+    private void dropIfUnused(long backendId, BackendStreams streams) {
+        if (streams.isUnused()) {
+            backends.remove(backendId);
+            latencyBaseline.forget(backendId);
         }
     }
 
+    // ---- For the streams -----------------------------------------------------------------------------------
+
     StreamTimeouts timeouts() {
         return timeouts;
     }
@@ -96,105 +78,69 @@
         return latencyBaseline;
     }
 
-    /** Whether so many backends are silent together that it is no fault of one. Two can't be told apart from one. */
-    boolean isSilenceCommon() {
-        return stalledBackends > 2 && stalledBackends > timeouts.commonSilenceShare() * activeBackends;
+    BufferLimit bufferLimit() {
+        return bufferLimit;
     }
 
-    void onStateChanged(ResponseStream stream, StreamState from, StreamState to) {
-        BackendRecord record = backends.get(stream.backend());
-        changeStateCount(record, from, -1);
-        changeStateCount(record, to, 1);
-        if (from == StreamState.STALLED) {
-            stalledBackends -= --record.stalledStreams == 0 ? 1 : 0;
-        }
-        if (to == StreamState.STALLED) {
-            stalledBackends += record.stalledStreams++ == 0 ? 1 : 0;
-        }
-        if (to == StreamState.CLOSED) {
-            changeStateCount(record, to, -1);
-            record.endsByLabel.merge(stream.attemptEnd().label(), 1L, Long::sum);
-            activeBackends -= --record.openStreams == 0 ? 1 : 0;
-            dropIfUnused(stream.backend(), record);
-        }
-    }
-
-    private static void changeStateCount(BackendRecord record, StreamState state, int change) {
-        record.streamsByState.merge(state, change, Integer::sum);
+    /** Whether so many backends are silent at once that the cause is not a single backend. */
+    boolean isSilenceCommon() {
+        return stalledBackends >= MIN_COMMON_STALLED_BACKENDS
+                && stalledBackends > timeouts.commonSilenceShare() * activeBackends;
     }
 
-    /** So many bytes more, or fewer, are held for a stream. */
-    void onBufferedBytesChanged(ResponseStream stream, long change) {
-        bufferedBytes += change;
-        BackendRecord record = backends.get(stream.backend());
-        if (record != null) {
-            record.bufferedBytes += change;
+    /** How long a backend may be silent between two events before its stream is ended. */
+    long allowedGapNanos(long backendId) {
+        if (!timeouts.isAdaptive()) {
+            return timeouts.maxSilenceNanos();
         }
+        // A known pause of the backend comes on top of the gap in which it falls.
+        long gapNanos =
+                Math.min(timeouts.maxSilenceNanos(), latencyBaseline.gapNanos(backendId, timeouts.suspicionLevel()));
+        return Math.min(timeouts.maxSilenceNanos(), timeouts.backendPauseNanos() + gapNanos);
     }
 
-    /** The reader has taken something, or lags from now on: it is the last to go. */
-    void onClientProgress(ResponseStream stream) {
-        slowClients.remove(stream);
-        slowClients.add(stream);
-    }
-
-    void onClientCaughtUp(ResponseStream stream) {
-        slowClients.remove(stream);
+    /** Counts a stream in its new state; in the state CLOSED its end is known. */
+    void onStateChanged(ResponseStream stream, StreamState from, StreamState to) {
+        BackendStreams streams = backends.get(stream.backendId());
+        boolean wasStalled = streams.hasStalledStreams();
+        streams.onStateChanged(from, to);
+        if (wasStalled != streams.hasStalledStreams()) {
+            stalledBackends += wasStalled ? -1 : 1;
+        }
+        if (to == StreamState.CLOSED) {
+            streams.onClosed(stream.attemptEnd());
+            activeBackends -= streams.hasStreams() ? 0 : 1;
+            dropIfUnused(stream.backendId(), streams);
+        }
     }
 
-    /**
-     * Ends streams until the bytes held are within the limit, those whose readers have taken nothing for longest first.
-     * Where no reader lags, the bytes are on their way, and none is at fault.
-     */
-    public void enforceBufferLimit() {
-        while (bufferedBytes > timeouts.maxBufferedBytes() && !slowClients.isEmpty()) {
-            ResponseStream mostStalled = slowClients.iterator().next();
-            slowClients.remove(mostStalled);
-            mostStalled.evict();
+    /** Counts bytes that are buffered for a stream, or no longer buffered if the change is negative. */
+    void changeBufferedBytes(ResponseStream stream, long change) {
+        bufferLimit.change(change);
+        BackendStreams streams = backends.get(stream.backendId());
+        if (streams != null) {
+            streams.changeBufferedBytes(change);
         }
     }
 
-    boolean isOverBufferLimit() {
-        return bufferedBytes > timeouts.maxBufferedBytes();
-    }
+    // ---- For operators -------------------------------------------------------------------------------------
 
-    /** Bytes held for all streams. */
+    /** The bytes that are buffered for all streams. */
     public long bufferedBytes() {
-        return bufferedBytes;
+        return bufferLimit.bufferedBytes();
     }
 
-    /** Attempts that are out, or whose client has yet to take the rest. */
-    public int open() {
-        return backends.values().stream().mapToInt(record -> record.openStreams).sum();
+    /** The number of attempts that have not ended, or whose client has yet to read the rest. */
+    public int openStreams() {
+        return backends.values().stream().mapToInt(BackendStreams::openStreams).sum();
     }
 
-    /** Of each backend that is listed or has streams. */
+    /** The statistics of each backend that is listed and has had streams, or still has some, in the order of ids. */
     public List<StreamStatistics> statistics() {
         List<StreamStatistics> statistics = new ArrayList<>();
-        new TreeMap<>(backends).forEach((backend, record) -> {
-            Map<StreamState, Integer> streamsByState = new EnumMap<>(record.streamsByState);
-            streamsByState.values().removeIf(n -> n == 0);
-            statistics.add(new StreamStatistics(
-                    backend,
-                    record.openStreams,
-                    streamsByState,
-                    new TreeMap<>(record.endsByLabel),
-                    allowedGapNanos(backend),
-                    record.bufferedBytes));
-        });
+        new TreeMap<>(backends)
+                .forEach((backendId, streams) ->
+                        statistics.add(streams.statistics(backendId, allowedGapNanos(backendId))));
         return statistics;
     }
-
-    /** Nanoseconds of silence between events after which a stream is given up. */
-    long allowedGapNanos(long backend) {
-        if (!timeouts.isAdaptive()) {
-            return timeouts.maxSilenceNanos();
-        }
-        // A pause of a box falls into a gap that would have been there anyhow.
-        return Math.min(
-                timeouts.maxSilenceNanos(),
-                timeouts.backendPauseNanos()
-                        + Math.min(
-                                timeouts.maxSilenceNanos(), latencyBaseline.gap(backend, timeouts.suspicionLevel())));
-    }
 }
--- a/node/src/main/java/fawnlb/stream/StreamState.java
+++ b/node/src/main/java/fawnlb/stream/StreamState.java
@@ -1,26 +1,26 @@
 package fawnlb.stream;
 
-/** Where an attempt and its stream stand. */
+/** The state of an attempt and its stream; the label is its name on the admin page. */
 public enum StreamState {
-    /** Sent, or about to be: nothing of an answer has been read. */
+    /** The request is sent or about to be, and no head of a response has been read. */
     AWAITING_HEAD("waiting for the head"),
-    /** A head that promises an answer was read, and no event of it. */
+    /** The head of an answer has been read, and no event of it. */
     AWAITING_FIRST_EVENT("waiting for the first event"),
-    /** The head is no answer; what follows it is read off, for the connection's sake. */
+    /** The head is not that of an answer; the body is discarded, so that the connection can be used again. */
     DISCARDING_BODY("turned away"),
-    /** Events come and are taken. */
+    /** Events arrive, and the client reads them. */
     STREAMING("flowing"),
-    /** Silent for longer than is usual, and not yet given up. */
+    /** The backend has been silent for longer than usual, and not yet for too long. */
     STALLED("stalled"),
-    /** The client has not taken all of the last piece; the backend is not read from. */
+    /** The client has not read all of the last chunk; the backend is not read from. */
     CLIENT_SLOW("reader slow"),
-    /** The client has taken no byte for a second. */
+    /** The client has read nothing for a second. */
     CLIENT_STALLED("reader stopped"),
-    /** All of the answer is here; the client has yet to take the rest. */
+    /** The response is complete, and the client has yet to read the rest. */
     FLUSHING("last piece"),
-    /** The backend's side is over before the answer is whole; the client is being told. */
+    /** The stream has ended before the client had all of it, and the client's side has yet to be closed. */
     ABORTED("broken"),
-    /** Over for both sides. */
+    /** Both sides have ended. */
     CLOSED("ended");
 
     private final String label;
@@ -29,6 +29,7 @@
         this.label = label;
     }
 
+    /** The state's name on the admin page and in the documentation. */
     public String label() {
         return label;
     }
--- a/node/src/main/java/fawnlb/stream/StreamStateMachine.java
+++ b/node/src/main/java/fawnlb/stream/StreamStateMachine.java
@@ -6,14 +6,22 @@
 import java.util.Map;
 
 /**
- * The life of an attempt and its stream as a table: each signal that can come in a state has one place in it. The
- * backend's side and the client's side are told to it in the order in which they are seen; a pair that the table lacks
- * can't come, and changes nothing if it does.
+ * The states of an attempt and its stream, and the transitions between them. Events of the backend's and the client's
+ * side arrive in one order. An event that has no transition in a state is not expected there, and leaves the state as
+ * it is. The design document contains the same table; a test compares them.
  */
 public final class StreamStateMachine {
     private static final Map<StreamState, Map<StreamEvent, StreamState>> TRANSITIONS = new EnumMap<>(StreamState.class);
 
     static {
+        addStatesBeforeFirstEvent();
+        addStatesWhileStreaming();
+        addStatesOfEnding();
+    }
+
+    private StreamStateMachine() {}
+
+    private static void addStatesBeforeFirstEvent() {
         from(StreamState.AWAITING_HEAD)
                 .on(StreamEvent.RESPONSE_HEAD, StreamState.AWAITING_FIRST_EVENT)
                 .on(StreamEvent.ERROR_HEAD, StreamState.DISCARDING_BODY)
@@ -31,6 +39,9 @@
                 .on(StreamEvent.RESPONSE_COMPLETE, StreamState.FLUSHING)
                 .on(StreamEvent.BACKEND_ENDED, StreamState.CLOSED)
                 .on(StreamEvent.CLIENT_CLOSED, StreamState.CLOSED);
+    }
+
+    private static void addStatesWhileStreaming() {
         from(StreamState.STREAMING)
                 .on(StreamEvent.PARTIAL_DATA, StreamState.STREAMING)
                 .on(StreamEvent.CHUNK, StreamState.STREAMING)
@@ -63,6 +74,9 @@
                 .on(StreamEvent.RESPONSE_COMPLETE, StreamState.FLUSHING)
                 .on(StreamEvent.BACKEND_ENDED, StreamState.ABORTED)
                 .on(StreamEvent.CLIENT_CLOSED, StreamState.CLOSED);
+    }
+
+    private static void addStatesOfEnding() {
         from(StreamState.FLUSHING)
                 .on(StreamEvent.CLIENT_BACKPRESSURE, StreamState.FLUSHING)
                 .on(StreamEvent.CLIENT_PROGRESS, StreamState.FLUSHING)
@@ -74,14 +88,13 @@
         from(StreamState.CLOSED);
     }
 
-    private StreamStateMachine() {}
-
     private static TransitionRow from(StreamState state) {
         Map<StreamEvent, StreamState> row = new EnumMap<>(StreamEvent.class);
         TRANSITIONS.put(state, row);
         return new TransitionRow(row);
     }
 
+    /** The transitions from one state. */
     private record TransitionRow(Map<StreamEvent, StreamState> nextStates) {
         TransitionRow on(StreamEvent event, StreamState next) {
             nextStates.put(event, next);
@@ -89,12 +102,12 @@
         }
     }
 
-    /** The state after a signal, null if the signal can't come in this state. */
+    /** Returns the state after an event, null if the event is not expected in this state. */
     public static StreamState stateAfter(StreamState state, StreamEvent event) {
         return TRANSITIONS.get(state).get(event);
     }
 
-    /** The table as the documentation has it: one line for each state and signal. */
+    /** Returns the rows of the documentation's transition table, one for each state and event. */
     public static List<String> documentationRows() {
         List<String> rows = new ArrayList<>();
         TRANSITIONS.forEach((state, row) -> row.forEach(
--- a/node/src/main/java/fawnlb/stream/StreamStatistics.java
+++ b/node/src/main/java/fawnlb/stream/StreamStatistics.java
@@ -3,13 +3,14 @@
 import java.util.Map;
 
 /**
- * One backend's streams, for people.
+ * The streams of one backend, for the admin page.
  *
- * @param openStreams attempts that are out, or whose client has yet to take the rest
- * @param streamsByState of those, how many are in each state that is not empty
- * @param endsByLabel how many have ended, by name
- * @param allowedGapNanos nanoseconds of silence after which a stream of it is given up
- * @param bufferedBytes bytes held for its streams' clients
+ * @param backend the endpoint's id in the endpoint list
+ * @param openStreams attempts that have not ended, or whose client has yet to read the rest
+ * @param streamsByState the number of those in each state, without states of which there are none
+ * @param endsByLabel the number of attempts that have ended, by the label of their end
+ * @param allowedGapNanos the silence between two events after which a stream is ended
+ * @param bufferedBytes the bytes that are buffered for the streams' clients
  */
 public record StreamStatistics(
         long backend,
--- a/node/src/main/java/fawnlb/stream/StreamTimeouts.java
+++ b/node/src/main/java/fawnlb/stream/StreamTimeouts.java
@@ -1,19 +1,19 @@
 package fawnlb.stream;
 
 /**
- * What holds for streams. Times are nanoseconds, sizes bytes.
+ * The timeouts and limits of response streams.
  *
- * @param isAdaptive whether silences are judged by what is usual; else {@code maxSilenceNanos} alone holds, after the
- *     head
- * @param suspicionLevel what is usual is what is exceeded once in so many, as a power of ten
- * @param backendPauseNanos a box may pause for so long in mid-answer and go on: a stream that has begun is given up
- *     when the usual gap and this have passed
- * @param maxSilenceNanos and never kept for a longer one while its reader is ready
- * @param minFirstEventWaitNanos a first event is waited for so long at least, whatever is usual
- * @param commonSilenceShare a silence that this share of the backends with streams has in common is the fleet's, not
- *     the backend's
- * @param clientTimeoutNanos a reader that takes no byte for so long is left
- * @param maxBufferedBytes bytes that may be held for all streams together
+ * @param isAdaptive whether silences are compared with the usual latencies; otherwise {@code maxSilenceNanos} alone
+ *     holds, after the head
+ * @param suspicionLevel a silence is suspect if it is exceeded once in 10 to this power
+ * @param backendPauseNanos backends are known to pause for this long in the middle of an answer and to continue: a
+ *     stream that has begun is ended when the usual gap and this pause have both passed
+ * @param maxSilenceNanos a stream whose client is waiting is ended after this silence in any case
+ * @param minFirstEventWaitNanos a first event is waited for at least this long, however short the usual wait is
+ * @param commonSilenceShare a silence that more than this share of the backends with streams have in common is one of
+ *     the whole fleet, and ends streams only after {@code maxSilenceNanos}
+ * @param clientTimeoutNanos a client that reads nothing for this long is disconnected
+ * @param maxBufferedBytes bytes that may be buffered for all streams together
  */
 public record StreamTimeouts(
         boolean isAdaptive,
@@ -26,7 +26,10 @@
         long maxBufferedBytes) {
     private static final long MILLISECOND_NANOS = 1_000_000;
 
-    /** What holds where no file says otherwise: clients are left waiting at most 5 s after a backend's last event. */
+    /**
+     * Returns the values that hold without a configuration file. With them a client waits at most 5 s after a backend's
+     * last event.
+     */
     public static StreamTimeouts defaults() {
         return new StreamTimeouts(
                 true,
--- a/node/src/test/java/fawnlb/stream/StreamRegistryTest.java
+++ b/node/src/test/java/fawnlb/stream/StreamRegistryTest.java
@@ -37,7 +37,8 @@
     private long nowNanos = SECOND_NANOS;
 
     private ResponseStream openStream(StreamRegistry registry, long backend, boolean canRetry) {
-        return registry.open(nowNanos, backend, 1000, nowNanos + 8 * SECOND_NANOS, canRetry, true, owner);
+        return registry.open(
+                nowNanos, new StreamParameters(backend, 1000, nowNanos + 8 * SECOND_NANOS, canRetry, true), owner);
     }
 
     /** A stream that has begun, its first event taken. */
@@ -153,7 +154,7 @@
             assertEquals(row[3], stream.attemptEnd().outcome());
             assertEquals(StreamState.CLOSED, stream.state());
         }
-        assertEquals(0, registry.open());
+        assertEquals(0, registry.openStreams());
         assertEquals(0, registry.bufferedBytes());
         assertEquals(
                 table.length,
@@ -211,7 +212,8 @@
         assertEquals(StreamState.CLOSED, stuck.state());
         assertNull(only.attemptEnd());
         // With little time left there would be none for another.
-        ResponseStream late = registry.open(nowNanos, 3, 1000, nowNanos + SECOND_NANOS, true, true, owner);
+        ResponseStream late =
+                registry.open(nowNanos, new StreamParameters(3, 1000, nowNanos + SECOND_NANOS, true, true), owner);
         wakeUntil(late, nowNanos + SECOND_NANOS);
         assertEquals(1, endReasons.size());
     }
@@ -252,7 +254,8 @@
                 if (taught == 1) {
                     trainBaseline(all, 1, 40, 100, new Random(5));
                 }
-                ResponseStream stream = all.open(nowNanos, 1, length, nowNanos + 8 * SECOND_NANOS, true, true, owner);
+                ResponseStream stream = all.open(
+                        nowNanos, new StreamParameters(1, length, nowNanos + 8 * SECOND_NANOS, true, true), owner);
                 assertEquals(
                         "length " + length + ", others taught: " + taught, ResponseStream.NEVER, stream.wakeAtNanos());
             }
@@ -413,7 +416,8 @@
 
     @Test
     public void bufferedResponseOverLimitIsEvicted() {
-        ResponseStream stream = registry.open(nowNanos, 1, 0, nowNanos + SECOND_NANOS, true, false, owner);
+        ResponseStream stream =
+                registry.open(nowNanos, new StreamParameters(1, 0, nowNanos + SECOND_NANOS, true, false), owner);
         stream.onHead(nowNanos, true);
         stream.setBufferedBytes(1000);
         assertEquals(List.of(), endReasons);
