--- a/node/src/main/java/fawnlb/backend/AttemptExchange.java
+++ b/node/src/main/java/fawnlb/backend/AttemptExchange.java
@@ -8,7 +8,6 @@
 import fawnlb.stream.ResponseStream;
 import fawnlb.stream.StreamParameters;
 import fawnlb.stream.StreamRegistry;
-import fawnlb.translation.Dialect;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.Optional;
@@ -27,9 +26,6 @@
 
     private static final long DISCARD_TIMEOUT_NANOS = 250_000_000;
 
-    private static final int TOO_MANY_REQUESTS = 429;
-    private static final int OVERLOADED = 529;
-
     private final AttemptParameters parameters;
     private final OutboundRequest request;
     private final Backends.AttemptListener listener;
@@ -210,13 +206,7 @@
 
     /** Why a response that the client does not get has ended. */
     private EndReason failureReason() {
-        // In the messages dialect, 429 and 529 say that the request was not run.
-        boolean isOverloadStatus = responseHead.status() == TOO_MANY_REQUESTS || responseHead.status() == OVERLOADED;
-        if (responseHead.header("x-not-run").equals("1")
-                || backend().dialect() == Dialect.MESSAGES && isOverloadStatus) {
-            return EndReason.NOT_ACCEPTED;
-        }
-        return responseKind.isRelayed() ? EndReason.TRUNCATED : EndReason.BACKEND_ERROR;
+        return responseKind.failureReason(responseHead, backend().dialect());
     }
 
     // ---- The client's side: called by the sink -------------------------------------------------------------
--- a/node/src/main/java/fawnlb/backend/Backend.java
+++ b/node/src/main/java/fawnlb/backend/Backend.java
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Closes the idle connections and starts nothing more; attempts that were sent run on. The stream registry is told
-     * in a message too, behind the attempts that wait in the mailbox: it would otherwise forget the backend before such
-     * an attempt opens its stream, and keep the new record for ever.
+     * Closes the idle connections and starts nothing more; attempts that were sent run on. The stream registry is
+     * notified in a message too, behind the attempts that wait in the mailbox: it would otherwise forget the backend
+     * before such an attempt opens its stream, and keep the new record for ever.
      */
     void remove() {
         mailbox.tellAlways(() -> {
--- a/node/src/main/java/fawnlb/backend/OutboundRequest.java
+++ b/node/src/main/java/fawnlb/backend/OutboundRequest.java
@@ -100,7 +100,7 @@
      * @param backendDialect a dialect for which {@link #canBeSentAs} is true
      * @param host the value of the header Host
      * @param remainingNanos how long the client can wait from now on; to be computed when the request is written, so
-     *     that the backend is never told of more time than is left
+     *     that the header never states more time than is left
      */
     ByteBuffer[] encode(Dialect backendDialect, String host, long remainingNanos) {
         byte[] content = backendDialect == dialect ? body : translatedBody;
--- a/node/src/main/java/fawnlb/backend/RelayedBody.java
+++ b/node/src/main/java/fawnlb/backend/RelayedBody.java
@@ -60,12 +60,12 @@
     /** Bytes that were taken and can't be relayed yet. */
     abstract int bufferedBytes();
 
-    /** Whether the first event has begun, and its beginning could be relayed before its end has come. */
+    /** Whether a part of the first event has come, which could be relayed before the rest. */
     boolean hasPartialFirstEvent() {
         return false;
     }
 
-    /** Returns the beginning of the first event, after {@link #hasPartialFirstEvent} was true. */
+    /** Returns that part of the first event, after {@link #hasPartialFirstEvent} was true. */
     ByteBuffer releaseFirstEvent() {
         throw new IllegalStateException("no partial first event");
     }
--- a/node/src/main/java/fawnlb/backend/ResponseKind.java
+++ b/node/src/main/java/fawnlb/backend/ResponseKind.java
@@ -1,6 +1,8 @@
 package fawnlb.backend;
 
 import fawnlb.http.ResponseHead;
+import fawnlb.stream.EndReason;
+import fawnlb.translation.Dialect;
 import java.util.Set;
 
 /** What the status of a response means for the client. */
@@ -16,6 +18,8 @@
     FAILURE;
 
     private static final int OK = 200;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int OVERLOADED = 529;
 
     /** Bad request, not found, content too large, unprocessable content. */
     private static final Set<Integer> CLIENT_ERROR_STATUSES = Set.of(400, 404, 413, 422);
@@ -27,7 +31,22 @@
         return CLIENT_ERROR_STATUSES.contains(head.status()) ? CLIENT_ERROR : FAILURE;
     }
 
+    /** Whether the response's body goes to the client. */
     boolean isRelayed() {
         return this != FAILURE;
     }
+
+    /** Returns why an attempt has ended whose response, of this kind, the client does not get. */
+    EndReason failureReason(ResponseHead head, Dialect backendDialect) {
+        if (isRequestNotRun(head, backendDialect)) {
+            return EndReason.NOT_ACCEPTED;
+        }
+        return isRelayed() ? EndReason.TRUNCATED : EndReason.BACKEND_ERROR;
+    }
+
+    private static boolean isRequestNotRun(ResponseHead head, Dialect backendDialect) {
+        // In the messages dialect, 429 and 529 are answers to requests that were not run.
+        boolean isOverloadStatus = head.status() == TOO_MANY_REQUESTS || head.status() == OVERLOADED;
+        return head.header("x-not-run").equals("1") || backendDialect == Dialect.MESSAGES && isOverloadStatus;
+    }
 }
--- a/node/src/main/java/fawnlb/stream/AttemptEnd.java
+++ b/node/src/main/java/fawnlb/stream/AttemptEnd.java
@@ -23,7 +23,7 @@
         return reason == EndReason.STALLED || reason == EndReason.TIMED_OUT;
     }
 
-    /** What the load balancer is told. */
+    /** What the load balancer gets to know of the attempt's end. */
     public AttemptOutcome outcome() {
         return reason.outcome();
     }
--- a/node/src/main/java/fawnlb/stream/EndReason.java
+++ b/node/src/main/java/fawnlb/stream/EndReason.java
@@ -4,7 +4,7 @@
 
 /**
  * Why an attempt and its stream have ended. Each reason has a label, which logs, metrics and responses show, and an
- * outcome, which the load balancer is told.
+ * outcome, which the load balancer gets.
  */
 public enum EndReason {
     /** The answer is complete, and the client has all of it or will get it. */
@@ -53,7 +53,7 @@
         return label;
     }
 
-    /** What the load balancer is told. */
+    /** What the load balancer gets to know of the attempt's end. */
     public AttemptOutcome outcome() {
         return outcome;
     }
--- a/node/src/main/java/fawnlb/stream/ResponseStream.java
+++ b/node/src/main/java/fawnlb/stream/ResponseStream.java
@@ -1,8 +1,8 @@
 package fawnlb.stream;
 
 /**
- * One attempt and the stream of its response, from the attempt's beginning until both the backend's and the client's
- * side have ended.
+ * One attempt and the stream of its response, from the attempt's start until both the backend's and the client's side
+ * have ended.
  *
  * <p>The exchange that carries the attempt out reports here what happens on either side, and calls {@link #wake} at the
  * time of {@link #wakeAtNanos}. What the stream decides, it tells its {@link StreamRegistry.Owner}, in the middle of
--- a/node/src/main/java/fawnlb/stream/StreamRegistry.java
+++ b/node/src/main/java/fawnlb/stream/StreamRegistry.java
@@ -82,7 +82,7 @@
         return bufferLimit;
     }
 
-    /** Whether so many backends are silent at once that the cause is not a single backend. */
+    /** Whether enough backends are silent at the same time to show that the cause is not a single backend. */
     boolean isSilenceCommon() {
         return stalledBackends >= MIN_COMMON_STALLED_BACKENDS
                 && stalledBackends > timeouts.commonSilenceShare() * activeBackends;
--- a/node/src/main/java/fawnlb/stream/StreamStateMachine.java
+++ b/node/src/main/java/fawnlb/stream/StreamStateMachine.java
@@ -15,7 +15,8 @@
 
     static {
         addStatesBeforeFirstEvent();
-        addStatesWhileStreaming();
+        addStatesOfBackendActivity();
+        addStatesOfSlowClient();
         addStatesOfEnding();
     }
 
@@ -41,7 +42,7 @@
                 .on(StreamEvent.CLIENT_CLOSED, StreamState.CLOSED);
     }
 
-    private static void addStatesWhileStreaming() {
+    private static void addStatesOfBackendActivity() {
         from(StreamState.STREAMING)
                 .on(StreamEvent.PARTIAL_DATA, StreamState.STREAMING)
                 .on(StreamEvent.CHUNK, StreamState.STREAMING)
@@ -60,6 +61,9 @@
                 .on(StreamEvent.RESPONSE_COMPLETE, StreamState.FLUSHING)
                 .on(StreamEvent.BACKEND_ENDED, StreamState.ABORTED)
                 .on(StreamEvent.CLIENT_CLOSED, StreamState.CLOSED);
+    }
+
+    private static void addStatesOfSlowClient() {
         from(StreamState.CLIENT_SLOW)
                 .on(StreamEvent.CLIENT_PROGRESS, StreamState.CLIENT_SLOW)
                 .on(StreamEvent.CLIENT_CAUGHT_UP, StreamState.STREAMING)
--- a/node/src/test/java/fawnlb/backend/LoadReportTest.java
+++ b/node/src/test/java/fawnlb/backend/LoadReportTest.java
@@ -8,21 +8,34 @@
 public class LoadReportTest {
     @Test
     public void valuesFollowOrderOfConfiguredFields() {
-        Object[][] cases = {
-            {"TEXT inflight=7, queue=2, util=0.61", List.of("waiting", "active"), List.of(2.0, 7.0)},
-            {"TEXT queue=2", List.of("waiting", "cpu"), List.of(2.0, 0.0)},
-            {"queue=2 x0=0.5", List.of("x0"), List.of(0.5)},
-            {"", List.of("waiting"), List.of()},
-            {"ready", List.of("waiting"), List.of()},
-            {"queue=many", List.of("waiting"), List.of()},
-            {"queue=-1", List.of("waiting"), List.of()},
-            {"queue=NaN", List.of("waiting"), List.of()},
-            {"queue=1", List.of(), List.of()}
-        };
-        for (Object[] row : cases) {
-            @SuppressWarnings("unchecked")
-            List<String> fields = (List<String>) row[1];
-            assertEquals(row[0].toString(), row[2], LoadReport.parse((String) row[0], fields));
-        }
+        assertParsed("TEXT inflight=7, queue=2, util=0.61", List.of("waiting", "active"), List.of(2.0, 7.0));
+    }
+
+    @Test
+    public void missingValueIsZero() {
+        assertParsed("TEXT queue=2", List.of("waiting", "cpu"), List.of(2.0, 0.0));
+    }
+
+    @Test
+    public void unknownFieldIsReadByItsOwnName() {
+        assertParsed("queue=2 x0=0.5", List.of("x0"), List.of(0.5));
+    }
+
+    @Test
+    public void textWithoutConfiguredFieldIsNoReport() {
+        assertParsed("", List.of("waiting"), List.of());
+        assertParsed("ready", List.of("waiting"), List.of());
+        assertParsed("queue=1", List.of(), List.of());
+    }
+
+    @Test
+    public void valueThatIsNoFiniteNumberFromZeroIsMissing() {
+        assertParsed("queue=many", List.of("waiting"), List.of());
+        assertParsed("queue=-1", List.of("waiting"), List.of());
+        assertParsed("queue=NaN", List.of("waiting"), List.of());
+    }
+
+    private static void assertParsed(String text, List<String> fields, List<Double> expected) {
+        assertEquals(text, expected, LoadReport.parse(text, fields));
     }
 }
