--- /dev/null
+++ b/node/src/main/java/fawnlb/client/DisconnectDetector.java
@@ -0,0 +1,109 @@
+package fawnlb.client;
+
+import fawnlb.eventloop.EventLoopOnly;
+import io.undertow.connector.PooledByteBuffer;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.server.protocol.http.HttpServerConnection;
+import io.undertow.util.AttachmentKey;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+
+/**
+ * Detects that a client disconnects while its request is served. Undertow doesn't read a connection meanwhile, so this
+ * class reads it, and keeps the bytes of a next request for Undertow.
+ */
+@EventLoopOnly
+final class DisconnectDetector {
+    private static final AttachmentKey<CloseListener> CLOSE_LISTENER = AttachmentKey.create(CloseListener.class);
+
+    private final HttpServerExchange exchange;
+    private final HttpServerConnection connection;
+    private CloseListener closeListener;
+
+    DisconnectDetector(HttpServerExchange exchange) {
+        this.exchange = exchange;
+        this.connection = (HttpServerConnection) exchange.getConnection();
+    }
+
+    /**
+     * The close listener of a connection, which calls the exchange that the connection serves. Undertow keeps close
+     * listeners for as long as the connection is open, so one listener for each exchange would keep all exchanges.
+     */
+    private static final class CloseListener {
+        private Runnable onClosed;
+
+        void onConnectionClosed() {
+            if (onClosed != null) {
+                onClosed.run();
+            }
+        }
+    }
+
+    /**
+     * Starts to watch the connection.
+     *
+     * @param onReadable runs when the connection has bytes to read or has been closed by the client
+     * @param onClosed runs when this side has closed the connection
+     */
+    void start(Runnable onReadable, Runnable onClosed) {
+        connection.getChannel().getSourceChannel().setReadListener(c -> onReadable.run());
+        connection.getOriginalSourceConduit().resumeReads();
+        closeListener = connection.getAttachment(CLOSE_LISTENER);
+        if (closeListener == null) {
+            CloseListener added = new CloseListener();
+            connection.putAttachment(CLOSE_LISTENER, added);
+            connection.addCloseListener(c -> added.onConnectionClosed());
+            closeListener = added;
+        }
+        closeListener.onClosed = onClosed;
+    }
+
+    /** Stops to read, so that bytes of a next request don't wake the I/O thread again and again. */
+    void stopReading() {
+        connection.getOriginalSourceConduit().suspendReads();
+    }
+
+    /** Releases the exchange. The connection doesn't refer to it any more. */
+    void release() {
+        if (closeListener != null) {
+            closeListener.onClosed = null;
+        }
+    }
+
+    /** Reads what the client has sent since, and returns whether the client has disconnected. */
+    boolean readAhead() {
+        PooledByteBuffer pooled = takeReadAheadBuffer();
+        ByteBuffer bytes = pooled.getBuffer();
+        bytes.compact();
+        if (!bytes.hasRemaining()) {
+            // A client sends one request at a time. From one that sends this much ahead, only the close is of interest.
+            exchange.setPersistent(false);
+            bytes.clear();
+        }
+        boolean disconnected = readOrDetectClose(bytes);
+        bytes.flip();
+        if (!bytes.hasRemaining()) {
+            pooled.close();
+            connection.setExtraBytes(null);
+        }
+        return disconnected;
+    }
+
+    private PooledByteBuffer takeReadAheadBuffer() {
+        PooledByteBuffer pooled = connection.getExtraBytes();
+        if (pooled == null) {
+            pooled = connection.getByteBufferPool().allocate();
+            pooled.getBuffer().limit(0);
+            connection.setExtraBytes(pooled);
+        }
+        return pooled;
+    }
+
+    private boolean readOrDetectClose(ByteBuffer bytes) {
+        try {
+            return connection.getOriginalSourceConduit().read(bytes) < 0;
+        } catch (IOException e) {
+            return true;
+        }
+    }
+}
