--- a/node/src/test/java/fawnlb/discovery/EndpointStartTimesTest.java
+++ b/node/src/test/java/fawnlb/discovery/EndpointStartTimesTest.java
@@ -11,7 +11,7 @@
     private static final long NANOS_PER_MILLISECOND = 1_000_000;
     private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLISECOND;
     private static final long NANOS_PER_HOUR = 3600 * NANOS_PER_SECOND;
-    /** The time on the clock that starts are told by, when a test begins. */
+    /** The time on the clock of the reported starts, when a test begins. */
     private static final long TRUE_TIME = 1_000_000 * NANOS_PER_SECOND;
 
     private static final long[] CLOCK_OFFSETS_NANOS = {
@@ -56,7 +56,7 @@
             fresh.recordStarts(new EndpointList(1, true, List.of(endpoint(1, 0))), now);
             fresh.recordContact(now);
             fresh.recordContact(now + 2 * NANOS_PER_SECOND);
-            // It started 1.5 s before it was told, and the last empty line came 0.5 s before.
+            // It started 1.5 s before it was reported, and the last heartbeat came 0.5 s before that.
             DiscoveredEndpoint joined = endpoint(2, TRUE_TIME + 1000 * NANOS_PER_MILLISECOND);
             fresh.recordStarts(new EndpointList(2, false, List.of(joined)), now + 2500 * NANOS_PER_MILLISECOND);
             long ageNanos = now + 2500 * NANOS_PER_MILLISECOND - fresh.startedAt(joined);
@@ -84,7 +84,7 @@
         DiscoveredEndpoint next = endpoint(3, TRUE_TIME + 17 * NANOS_PER_SECOND);
         receiveList(now + 20 * NANOS_PER_SECOND, next);
         assertEquals(
-                "by the difference that is known now",
+                "by the clock offset that is known now",
                 0,
                 ageNanos(now + 20 * NANOS_PER_SECOND, next),
                 3 * NANOS_PER_SECOND);
--- a/node/src/test/java/fawnlb/discovery/NotificationDeadlineTest.java
+++ b/node/src/test/java/fawnlb/discovery/NotificationDeadlineTest.java
@@ -1,206 +1,114 @@
 package fawnlb.discovery;
 
+import static fawnlb.discovery.DiscoveryTimeouts.CONNECT_TIMEOUT_NANOS;
+import static fawnlb.discovery.DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS;
+import static fawnlb.discovery.DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS;
 import static org.junit.Assert.assertTrue;
 
 import fawnlb.decision.EndpointUpdateKind;
-import fawnlb.decision.Idempotency;
-import fawnlb.decision.IdempotencyScope;
-import fawnlb.decision.LoadBalancer;
-import fawnlb.decision.LoadBalancerAction;
-import fawnlb.decision.LoadBalancerAction.SetTimer;
-import fawnlb.decision.LoadBalancerAction.WatchEndpoints;
-import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
-import fawnlb.decision.LoadBalancerEvent.TimerFired;
-import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.membership.SubscriptionSchedule;
-import fawnlb.policy.BoundedLoadBalancer;
-import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
-import java.util.PriorityQueue;
+import java.util.function.LongFunction;
 import org.junit.Test;
 
 /**
- * A change counts as told 6 s after discovery had it and could be reached, whatever was allowed to fail before. Each
- * path on which a node learns of it late, at its worst: with the pause that the module draws, on one clock.
+ * An instance must know of a change 6 s after discovery has it and can be reached, whatever has failed before. Each way
+ * to learn of it late is played at its worst: with the backoff that the load balancer draws, on one clock.
  */
 public class NotificationDeadlineTest {
-    private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final long NOTIFICATION_DEADLINE_NANOS = SubscriptionSchedule.NOTIFICATION_DEADLINE_NANOS;
-    /** What the call takes that is then answered. */
+    private static final long NANOS_PER_MILLISECOND = 1_000_000;
+    private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLISECOND;
+    /** How long the call takes that is answered in the end. */
     private static final long ANSWERED_CALL_NANOS = NANOS_PER_SECOND / 2;
 
-    /**
-     * A path: how long after the change could first be had the node still learns, at the latest, that it has to call
-     * again.
-     */
+    private static final int SEEDS = 40;
+
+    /** A way to learn of a failure, and how long after the change the instance knows of it at the latest. */
     private record DetectionPath(String name, long detectionNanos) {}
 
     private static final List<DetectionPath> DETECTION_PATHS = List.of(
-            new DetectionPath(
-                    "a watch that fell silent with the change", DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS),
+            new DetectionPath("a watch that fell silent with the change", WATCH_SILENCE_TIMEOUT_NANOS),
             new DetectionPath("a watch that was reset with the change", 0),
             new DetectionPath("a call that was refused just before", 0),
-            new DetectionPath("a call whose connection never came up", DiscoveryTimeouts.CONNECT_TIMEOUT_NANOS),
-            new DetectionPath("a call that was never answered", DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS));
-
-    /** One module, and the timers that it has set. */
-    private static final class SimulatedInstance {
-        private final PriorityQueue<SetTimer> pendingTimers =
-                new PriorityQueue<>(Comparator.comparingLong(SetTimer::dueAt));
-        private final List<Long> callTimes = new ArrayList<>();
-        private final LoadBalancer loadBalancer;
-        private long now = 100 * NANOS_PER_SECOND;
-
-        SimulatedInstance(int instanceCount, long pollDeadlineNanos, long seed) {
-            LoadBalancerSettings.RequestClass type = new LoadBalancerSettings.RequestClass(
-                    Idempotency.IDEMPOTENT,
-                    IdempotencyScope.ALL,
-                    0,
-                    NANOS_PER_SECOND,
-                    0,
-                    4 * NANOS_PER_SECOND,
-                    0,
-                    1,
-                    0,
-                    true);
-            loadBalancer = new BoundedLoadBalancer(
-                    new LoadBalancerSettings(
-                            0,
-                            instanceCount,
-                            0,
-                            NANOS_PER_SECOND / 1000,
-                            false,
-                            LoadBalancerSettings.DiscoveryMode.WATCHED,
-                            LoadBalancerSettings.LoadReporting.NONE,
-                            List.of(),
-                            List.of(type),
-                            List.of(),
-                            new LoadBalancerSettings.Limits(4, 1000, false, true, false, false, NANOS_PER_SECOND),
-                            new LoadBalancerSettings.EndpointLifecycle(
-                                    NANOS_PER_SECOND,
-                                    pollDeadlineNanos,
-                                    0.3,
-                                    9 * NANOS_PER_SECOND,
-                                    2.5,
-                                    NANOS_PER_SECOND),
-                            new LoadBalancerSettings.Costs(0, 0)),
-                    seed,
-                    this::onAction);
-            receive(EndpointUpdateKind.CACHED);
-        }
-
-        private void onAction(LoadBalancerAction action) {
-            if (action instanceof SetTimer timer) {
-                pendingTimers.add(timer);
-            } else if (action instanceof WatchEndpoints) {
-                callTimes.add(now);
-            }
-        }
+            new DetectionPath("a call whose connection never came up", CONNECT_TIMEOUT_NANOS),
+            new DetectionPath("a call that was never answered", RESPONSE_TIMEOUT_NANOS));
 
-        void receive(EndpointUpdateKind kind) {
-            loadBalancer.onEvent(now, new EndpointsUpdated(kind, 1, List.of()));
-        }
-
-        /** It has called once and was answered. */
-        SimulatedInstance startWatching() {
-            runUntilNextCall();
-            receive(EndpointUpdateKind.DELTA);
-            return this;
-        }
+    /**
+     * Calls that fail one after another although discovery can be reached, with the time that each takes to fail. What
+     * fails first takes the longest to be noticed.
+     */
+    private record FailureSequence(String name, long... detectionNanos) {}
 
-        /** So many times it was told of a failure and has called again. */
-        SimulatedInstance failCalls(int failures) {
-            for (int i = 0; i < failures; i++) {
-                receive(EndpointUpdateKind.FAILED);
-                runUntilNextCall();
-            }
-            return this;
+    private static final List<FailureSequence> FAILURE_SEQUENCES = List.of(
+            new FailureSequence("silent, refused", WATCH_SILENCE_TIMEOUT_NANOS, 0),
+            new FailureSequence("silent, refused, refused", WATCH_SILENCE_TIMEOUT_NANOS, 0, 0),
+            new FailureSequence("reset, refused, refused", 0, 0, 0),
+            new FailureSequence("refused, refused, refused", 0, 0, 0),
+            new FailureSequence("no connection, refused, refused", CONNECT_TIMEOUT_NANOS, 0, 0),
+            new FailureSequence("refused, no connection, refused", 0, CONNECT_TIMEOUT_NANOS, 0),
+            new FailureSequence("no answer, no answer", RESPONSE_TIMEOUT_NANOS, RESPONSE_TIMEOUT_NANOS),
+            new FailureSequence("no answer, refused", RESPONSE_TIMEOUT_NANOS, 0),
+            new FailureSequence("refused, no answer", 0, RESPONSE_TIMEOUT_NANOS));
+
+    /** What an instance has gone through before the change. */
+    private record History(int instanceCount, long pollDeadlineNanos, int earlierFailures) {
+        SimulatedInstance play(long seed) {
+            return new SimulatedInstance(instanceCount, pollDeadlineNanos, seed)
+                    .startWatching()
+                    .failCalls(earlierFailures);
         }
+    }
 
-        /** When it calls next. */
-        long runUntilNextCall() {
-            for (int before = callTimes.size(); callTimes.size() == before; ) {
-                SetTimer timer = pendingTimers.poll();
-                now = Math.max(now, timer.dueAt());
-                loadBalancer.onEvent(now, new TimerFired(timer.token()));
-            }
-            return now;
+    /** Plays the history with each seed, and checks when the list is known after what follows it. */
+    private static void assertKnownInTime(String name, History history, LongFunction<Long> delayNanosOfSeed) {
+        for (long seed = 0; seed < SEEDS; seed++) {
+            long delayNanos = delayNanosOfSeed.apply(seed);
+            assertTrue(
+                    name + ", " + history + ", seed " + seed + ": " + delayNanos / NANOS_PER_MILLISECOND + " ms",
+                    delayNanos <= SubscriptionSchedule.NOTIFICATION_DEADLINE_NANOS);
         }
     }
 
     @Test
     public void changeIsKnownBeforeTheDeadlineAfterAnyEarlierFailures() {
-        for (DetectionPath path : DETECTION_PATHS) {
-            for (int instanceCount : new int[] {1, 6, 30, 100}) {
-                for (long pollDeadlineNanos :
-                        new long[] {4 * NANOS_PER_SECOND, 10 * NANOS_PER_SECOND, 60 * NANOS_PER_SECOND}) {
-                    for (int failures = 0; failures < 7; failures++) {
-                        for (long seed = 0; seed < 40; seed++) {
-                            SimulatedInstance instance = new SimulatedInstance(instanceCount, pollDeadlineNanos, seed)
-                                    .startWatching()
-                                    .failCalls(failures);
-                            long changedAt = instance.now;
-                            instance.now += path.detectionNanos();
-                            instance.receive(EndpointUpdateKind.FAILED);
-                            long delayNanos = instance.runUntilNextCall() + ANSWERED_CALL_NANOS - changedAt;
-                            assertTrue(
-                                    path.name() + ", " + instanceCount + " nodes, " + failures + " failures before: "
-                                            + delayNanos,
-                                    delayNanos <= NOTIFICATION_DEADLINE_NANOS);
-                        }
-                    }
+        for (int instanceCount : new int[] {1, 6, 30, 100}) {
+            for (long pollDeadlineSeconds : new long[] {4, 10, 60}) {
+                for (int earlierFailures = 0; earlierFailures < 7; earlierFailures++) {
+                    History history =
+                            new History(instanceCount, pollDeadlineSeconds * NANOS_PER_SECOND, earlierFailures);
+                    DETECTION_PATHS.forEach(path -> assertKnownInTime(
+                            path.name(), history, seed -> delayNanosAfterFailure(history.play(seed), path)));
                 }
             }
         }
     }
 
-    /**
-     * Calls that fail one after another although discovery can be reached; what fails first takes the longest to be
-     * noticed.
-     */
-    private record FailureSequence(String name, long... detectionNanos) {}
-
-    private static final List<FailureSequence> FAILURE_SEQUENCES = List.of(
-            new FailureSequence("silent, refused", DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS, 0),
-            new FailureSequence("silent, refused, refused", DiscoveryTimeouts.WATCH_SILENCE_TIMEOUT_NANOS, 0, 0),
-            new FailureSequence("reset, refused, refused", 0, 0, 0),
-            new FailureSequence("refused, refused, refused", 0, 0, 0),
-            new FailureSequence("no connection, refused, refused", DiscoveryTimeouts.CONNECT_TIMEOUT_NANOS, 0, 0),
-            new FailureSequence("refused, no connection, refused", 0, DiscoveryTimeouts.CONNECT_TIMEOUT_NANOS, 0),
-            new FailureSequence(
-                    "no answer, no answer",
-                    DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS,
-                    DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS),
-            new FailureSequence("no answer, refused", DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS, 0),
-            new FailureSequence("refused, no answer", 0, DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS));
+    private static long delayNanosAfterFailure(SimulatedInstance instance, DetectionPath path) {
+        long changedAt = instance.now();
+        instance.advance(path.detectionNanos());
+        instance.receive(EndpointUpdateKind.FAILED);
+        return instance.runUntilNextCall() + ANSWERED_CALL_NANOS - changedAt;
+    }
 
     @Test
     public void changeIsKnownBeforeTheDeadlineAfterConsecutiveFailures() {
-        for (FailureSequence sequence : FAILURE_SEQUENCES) {
-            for (int instanceCount : new int[] {1, 6, 30, 100, 1024}) {
-                for (int earlierFailures : new int[] {0, 1, 6}) {
-                    for (long seed = 0; seed < 40; seed++) {
-                        SimulatedInstance instance = new SimulatedInstance(instanceCount, 10 * NANOS_PER_SECOND, seed)
-                                .startWatching()
-                                .failCalls(earlierFailures);
-                        long changedAt = instance.now;
-                        for (long detectionNanos : sequence.detectionNanos()) {
-                            instance.now += detectionNanos;
-                            instance.receive(
-                                    detectionNanos == DiscoveryTimeouts.RESPONSE_TIMEOUT_NANOS
-                                            ? EndpointUpdateKind.TIMED_OUT
-                                            : EndpointUpdateKind.FAILED);
-                            instance.runUntilNextCall();
-                        }
-                        long delayNanos = instance.now + ANSWERED_CALL_NANOS - changedAt;
-                        assertTrue(
-                                sequence.name() + ", " + instanceCount + " nodes, after " + earlierFailures + ": "
-                                        + delayNanos / 1_000_000 + " ms",
-                                delayNanos <= NOTIFICATION_DEADLINE_NANOS);
-                    }
-                }
+        for (int instanceCount : new int[] {1, 6, 30, 100, 1024}) {
+            for (int earlierFailures : new int[] {0, 1, 6}) {
+                History history = new History(instanceCount, 10 * NANOS_PER_SECOND, earlierFailures);
+                FAILURE_SEQUENCES.forEach(sequence -> assertKnownInTime(
+                        sequence.name(), history, seed -> delayNanosAfterFailures(history.play(seed), sequence)));
             }
         }
     }
+
+    private static long delayNanosAfterFailures(SimulatedInstance instance, FailureSequence sequence) {
+        long changedAt = instance.now();
+        for (long detectionNanos : sequence.detectionNanos()) {
+            boolean timedOut = detectionNanos == RESPONSE_TIMEOUT_NANOS;
+            instance.advance(detectionNanos);
+            instance.receive(timedOut ? EndpointUpdateKind.TIMED_OUT : EndpointUpdateKind.FAILED);
+            instance.runUntilNextCall();
+        }
+        return instance.now() + ANSWERED_CALL_NANOS - changedAt;
+    }
 }
--- a/node/src/test/java/fawnlb/snapshot/SnapshotRecorderTest.java
+++ b/node/src/test/java/fawnlb/snapshot/SnapshotRecorderTest.java
@@ -11,16 +11,14 @@
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.discovery.EndpointList;
 import fawnlb.eventloop.Mailbox;
-import fawnlb.eventloop.Timers;
+import fawnlb.eventloop.ManualTimers;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayDeque;
-import java.util.Comparator;
 import java.util.Deque;
 import java.util.List;
-import java.util.PriorityQueue;
 import org.junit.Before;
 import org.junit.Rule;
 import org.junit.Test;
@@ -34,25 +32,8 @@
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
-    private record ScheduledTask(long dueAt, Runnable task) {}
-
-    private final PriorityQueue<ScheduledTask> scheduled =
-            new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::dueAt));
     private final Deque<Runnable> diskTasks = new ArrayDeque<>();
-    private final Timers timers = new Timers() {
-        @Override
-        public long now() {
-            return now;
-        }
-
-        @Override
-        public Timer schedule(long delayNanos, Runnable task) {
-            ScheduledTask entry = new ScheduledTask(now + Math.max(0, delayNanos), task);
-            scheduled.add(entry);
-            return () -> scheduled.remove(entry);
-        }
-    };
-    private long now = 1000 * NANOS_PER_SECOND;
+    private final ManualTimers timers = new ManualTimers(1000 * NANOS_PER_SECOND);
     private Path file;
     private SnapshotRecorder recorder;
 
@@ -67,15 +48,6 @@
                 new Mailbox(Runnable::run, 100), new Mailbox(diskTasks::add, 1), timers, store, INTERVALS);
     }
 
-    private void advanceTime(long nanos) {
-        long end = now + nanos;
-        while (!scheduled.isEmpty() && scheduled.peek().dueAt() <= end) {
-            now = scheduled.peek().dueAt();
-            scheduled.poll().task().run();
-        }
-        now = end;
-    }
-
     private int runDiskTasks() {
         int count = 0;
         for (; !diskTasks.isEmpty(); count++) {
@@ -101,7 +73,7 @@
     }
 
     private void respond(DiscoveredEndpoint endpoint) {
-        recorder.onEvent(now, new ResponseStarted(1, 0, endpoint.numericId(), 1));
+        recorder.onEvent(timers.now(), new ResponseStarted(1, 0, endpoint.numericId(), 1));
     }
 
     private List<Snapshot.Entry> savedEntries() throws IOException {
@@ -118,16 +90,16 @@
     @Test
     public void changesAreWrittenAtTheMinimumInterval() throws IOException {
         receiveFullList(endpoint("a"));
-        advanceTime(0);
+        timers.advance(0);
         assertEquals(1, runDiskTasks());
 
         for (int i = 0; i < 100; i++) {
             receiveChanges(endpoint("b" + i));
-            advanceTime(NANOS_PER_SECOND / 100);
+            timers.advance(NANOS_PER_SECOND / 100);
         }
 
         assertEquals(1, runDiskTasks());
-        advanceTime(NANOS_PER_SECOND);
+        timers.advance(NANOS_PER_SECOND);
         runDiskTasks();
         assertEquals(101, savedIds().size());
     }
@@ -135,14 +107,14 @@
     @Test
     public void responsesAreWrittenAtTheRefreshInterval() throws IOException {
         receiveFullList(endpoint("a"));
-        advanceTime(0);
+        timers.advance(0);
         runDiskTasks();
 
         respond(endpoint("a"));
 
-        advanceTime(29 * NANOS_PER_SECOND);
+        timers.advance(29 * NANOS_PER_SECOND);
         assertEquals(0, runDiskTasks());
-        advanceTime(2 * NANOS_PER_SECOND);
+        timers.advance(2 * NANOS_PER_SECOND);
         assertEquals(1, runDiskTasks());
         assertTrue(savedEntries().stream().anyMatch(entry -> entry.lastResponseAtMillis() > 0));
     }
@@ -150,15 +122,15 @@
     @Test
     public void slowDiskHasAtMostOneWriteInProgress() throws IOException {
         receiveFullList(endpoint("a"));
-        advanceTime(0);
+        timers.advance(0);
         for (String id : List.of("b", "c", "d")) {
             receiveFullList(endpoint(id));
-            advanceTime(2 * NANOS_PER_SECOND);
+            timers.advance(2 * NANOS_PER_SECOND);
         }
         assertEquals(1, diskTasks.size());
         assertEquals(1, runDiskTasks());
 
-        advanceTime(NANOS_PER_SECOND);
+        timers.advance(NANOS_PER_SECOND);
 
         assertEquals(1, runDiskTasks());
         assertEquals(List.of("d"), savedIds());
@@ -172,7 +144,7 @@
         receiveFullList();
         recorder.onDiscoveryUpdate(EndpointUpdateKind.FAILED, null);
 
-        advanceTime(NANOS_PER_SECOND);
+        timers.advance(NANOS_PER_SECOND);
         runDiskTasks();
 
         assertEquals(List.of("b"), savedIds());
@@ -187,7 +159,7 @@
 
         receiveChanges(endpoint("a", EndpointPhase.READY, 6));
 
-        advanceTime(NANOS_PER_SECOND);
+        timers.advance(NANOS_PER_SECOND);
         runDiskTasks();
         assertEquals(0, savedEntries().get(0).lastResponseAtMillis());
     }
@@ -197,15 +169,15 @@
         Path temporaryFile = file.resolveSibling("list.tmp");
         Files.createDirectory(temporaryFile);
         receiveFullList(endpoint("a"));
-        advanceTime(0);
+        timers.advance(0);
         assertEquals(1, runDiskTasks());
         assertFalse(Files.exists(file));
 
         Files.delete(temporaryFile);
 
-        advanceTime(29 * NANOS_PER_SECOND);
+        timers.advance(29 * NANOS_PER_SECOND);
         assertEquals(0, runDiskTasks());
-        advanceTime(2 * NANOS_PER_SECOND);
+        timers.advance(2 * NANOS_PER_SECOND);
         assertEquals(1, runDiskTasks());
         assertEquals(List.of("a"), savedIds());
         assertArrayEquals(new String[] {"list"}, folder.getRoot().list());
@@ -216,11 +188,11 @@
     public void retriesAfterAnUnexpectedWriteException() {
         recorder = recorder(new FailingOnceStore(file));
         receiveFullList(endpoint("s-00000001"));
-        advanceTime(2 * NANOS_PER_SECOND);
+        timers.advance(2 * NANOS_PER_SECOND);
         runDiskTasks();
         assertFalse(Files.exists(file));
 
-        advanceTime(31 * NANOS_PER_SECOND);
+        timers.advance(31 * NANOS_PER_SECOND);
         runDiskTasks();
 
         assertTrue(Files.exists(file));
