--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -69,7 +69,7 @@
         this.sent = settings.tenants().stream().mapToDouble(Tenant::share).toArray();
         this.typicalStream = new double[settings.requestClasses().size()];
         this.streamsSeen = new int[settings.requestClasses().size()];
-        this.random = new SplittableRandom(mix(seed));
+        this.random = new SplittableRandom(SplitMix64.mix(seed));
         this.subscription = new SubscriptionSchedule(
                 settings.instances(), settings.endpointLifecycle().pollDeadlineNanos(), random::nextDouble);
         this.retryBurst = this.retryCredit = Math.max(1, RETRY_BURST / Math.max(1, settings.instances()));
@@ -249,14 +249,6 @@
         nodes.values().removeIf(node -> node.phase == EndpointPhase.GONE && node.inFlight == 0);
     }
 
-    /** The ring's hash: the finalizer of SplitMix64. */
-    static long mix(long x) {
-        x += 0x9e3779b97f4a7c15L;
-        x = (x ^ (x >>> 30)) * 0xbf58476d1ce4e5b9L;
-        x = (x ^ (x >>> 27)) * 0x94d049bb133111ebL;
-        return x ^ (x >>> 31);
-    }
-
     /** ceil(1.25 * (total + 1) / replicas), in whole numbers; widened by so many thousandths. */
     static long cap(long total, long replicas, long wide) {
         long divisor = CAP_DEN * NARROW * Math.max(1, replicas);
@@ -342,8 +334,8 @@
         while (places < need) {
             places *= 2;
         }
-        long place = mix(~task.session) & places - 1;
-        long key = place == 0 ? task.key : mix(task.key + place);
+        long place = SplitMix64.mix(~task.session) & places - 1;
+        long key = place == 0 ? task.key : SplitMix64.mix(task.key + place);
         return places > 1 && places >= SPREAD_LIMIT * replicas ? task.session : key;
     }
 
@@ -358,7 +350,7 @@
         return settings.costs().crossZone() > settings.costs().wastedWork()
                 && nearReady > 0
                 && zones > 1
-                && (mix(~task.session) >>> 11) * 0x1p-53 < ZONE_EXCESS / (zones - 1);
+                && SplitMix64.toUnitInterval(~task.session) < ZONE_EXCESS / (zones - 1);
     }
 
     /**
@@ -404,7 +396,7 @@
      * the middle one, a slower kind that has most of the replicas would keep them all.
      */
     private boolean keeps(long key, EndpointState node, double quickest) {
-        return (mix(key ^ mix(node.id)) >>> 11) * 0x1p-53 < quickest / paceOf(node);
+        return SplitMix64.toUnitInterval(key ^ SplitMix64.mix(node.id)) < quickest / paceOf(node);
     }
 
     /** The pace of the quickest kind of ready replicas that was met often enough; NEVER if none was. */
@@ -492,7 +484,7 @@
         double slow = 1 - SLOW_STREAMS * bestPace / middle(this::paceOf);
         double part = Math.max(middle(n -> n.lateFraction) - OVERLOAD_THRESHOLD, slow);
         part *= claim(task.request.tenantIndex());
-        return part > 0 && (mix(task.session ^ 0x5ca1ab1eL) >>> 11) * 0x1p-53 < Math.min(MAX_SHED, part);
+        return part > 0 && SplitMix64.toUnitInterval(task.session ^ 0x5ca1ab1eL) < Math.min(MAX_SHED, part);
     }
 
     /**
@@ -673,7 +665,7 @@
         ActiveRequest(RequestArrived request, RequestClass type, long now) {
             this.request = request;
             this.type = type;
-            long own = request.sessionKey() != 0 ? request.sessionKey() : mix(request.requestId());
+            long own = request.sessionKey() != 0 ? request.sessionKey() : SplitMix64.mix(request.requestId());
             this.session = own;
             this.key = request.prefixKey() != 0 ? request.prefixKey() : own;
             double prompt = sane(request.promptTokens());
--- a/node/src/main/java/fawnlb/policy/HashRing.java
+++ b/node/src/main/java/fawnlb/policy/HashRing.java
@@ -46,7 +46,7 @@
 
     /** The index of the first point at or clockwise of the key's hash; the ring must not be empty. */
     int firstIndexFor(long key) {
-        long hash = BoundedLoadBalancer.mix(key) & ~NUMBER_MASK;
+        long hash = SplitMix64.mix(key) & ~NUMBER_MASK;
         int found = Arrays.binarySearch(points, 0, size, hash);
         int index = found >= 0 ? found : -1 - found;
         return index == size ? 0 : index;
@@ -58,9 +58,9 @@
         int count = 0;
         for (T server : joined) {
             long number = number(server);
-            long seed = BoundedLoadBalancer.mix(id.applyAsLong(server));
+            long seed = SplitMix64.mix(id.applyAsLong(server));
             for (int i = 0; i < POINTS_PER_ENDPOINT; i++) {
-                added[count++] = BoundedLoadBalancer.mix(seed + i) & ~NUMBER_MASK | number;
+                added[count++] = SplitMix64.mix(seed + i) & ~NUMBER_MASK | number;
             }
         }
         Arrays.sort(added);
--- a/node/src/test/java/fawnlb/policy/HashRingTest.java
+++ b/node/src/test/java/fawnlb/policy/HashRingTest.java
@@ -37,13 +37,13 @@
         TreeMap<Long, Long> expected = new TreeMap<>();
         for (long id : members) {
             for (int i = 0; i < HashRing.POINTS_PER_ENDPOINT; i++) {
-                expected.put(BoundedLoadBalancer.mix(BoundedLoadBalancer.mix(id) + i), id);
+                expected.put(SplitMix64.mix(SplitMix64.mix(id) + i), id);
             }
         }
         assertEquals(expected.size(), ring.size());
         for (int i = 0; i < 500; i++) {
             long key = random.nextLong();
-            var at = expected.ceilingEntry(BoundedLoadBalancer.mix(key));
+            var at = expected.ceilingEntry(SplitMix64.mix(key));
             assertEquals(
                     (at == null ? expected.firstEntry() : at).getValue(), ring.endpointAt(ring.firstIndexFor(key)));
         }
