--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -22,7 +22,6 @@
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
 import fawnlb.decision.LoadBalancerSettings.EndpointLifecycle;
-import fawnlb.decision.LoadBalancerSettings.RequestClass;
 import fawnlb.decision.LoadBalancerSettings.Tenant;
 import fawnlb.membership.SubscriptionSchedule;
 import java.util.ArrayDeque;
@@ -98,35 +97,6 @@
 
     // ---- List -----------------------------------------------------------------------------------------
 
-    /** A replica as this router knows it. */
-    private static final class EndpointState {
-        final long id;
-        EndpointPhase phase = EndpointPhase.GONE;
-        boolean onRing;
-        long startedAt;
-        int zone;
-        int cell;
-        KindPace kind;
-        int inFlight;
-        long visit;
-        boolean inSlowStart;
-        long slowStartNextAttemptAt;
-        int consecutiveFailures;
-        int stalls;
-        long ejectedUntil;
-        double firstTokenLatency;
-        double lateFraction;
-        double streamSlowdown = 1;
-        int streamSamples;
-        int awaitingFirstToken;
-        int capacity;
-        long silentSince;
-
-        EndpointState(long id) {
-            this.id = id;
-        }
-    }
-
     private final Map<Long, EndpointState> nodes = new HashMap<>();
     /** Those that are ready, and a place for a figure of each. */
     private final List<EndpointState> readyNodes = new ArrayList<>();
@@ -154,7 +124,7 @@
             EndpointState node = nodes.computeIfAbsent(replica.id(), EndpointState::new);
             boolean listed = replica.phase() != EndpointPhase.GONE;
             update(node, replica);
-            node.visit = mark;
+            node.lastPass = mark;
             if (listed && !node.onRing) {
                 node.onRing = true;
                 joined.add(node);
@@ -179,7 +149,7 @@
     private boolean leaveOut(long mark) {
         boolean left = false;
         for (EndpointState node : nodes.values()) {
-            if (node.visit != mark && node.phase != EndpointPhase.GONE) {
+            if (node.lastPass != mark && node.phase != EndpointPhase.GONE) {
                 node.phase = EndpointPhase.GONE;
                 left = true;
             }
@@ -197,7 +167,7 @@
         node.phase = replica.phase();
         node.zone = replica.zone();
         node.cell = replica.cell();
-        node.kind = kindPaces.computeIfAbsent(replica.kind(), kind -> new KindPace());
+        node.kindPace = kindPaces.computeIfAbsent(replica.kind(), kind -> new KindPace());
         node.capacity = replica.capacity();
     }
 
@@ -228,7 +198,7 @@
                 nearReady += here ? 1 : 0;
                 met.set(Math.max(0, node.zone));
                 readyNodes.add(node);
-                readyKinds.add(node.kind);
+                readyKinds.add(node.kindPace);
                 ready++;
                 cold += node.inSlowStart ? 1 : 0;
             }
@@ -279,12 +249,12 @@
         for (int i = at, seen = 0; seen < ring.size() && left > 0; seen++) {
             EndpointState node = ring.endpointAt(i);
             i = i + 1 == ring.size() ? 0 : i + 1;
-            if (node.visit == mark || node.phase != EndpointPhase.READY || near && node.zone != settings.zone()) {
+            if (node.lastPass == mark || node.phase != EndpointPhase.READY || near && node.zone != settings.zone()) {
                 continue;
             }
-            node.visit = mark;
+            node.lastPass = mark;
             left--;
-            if (!permitted(task, node) || task.tried(node)) {
+            if (!permitted(task, node) || task.wasTriedOn(node)) {
                 continue;
             }
             boolean rests = node.ejectedUntil > now || node.inSlowStart && now < node.slowStartNextAttemptAt;
@@ -292,7 +262,7 @@
                 continue;
             }
             if (node.inFlight < capOf(node, limit, task) && keeps(key, node, quickest)) {
-                if (task.attempts.isEmpty()) {
+                if (task.attemptCount() == 0) {
                     countSpill(fallback != null);
                 }
                 return node;
@@ -327,16 +297,17 @@
 
     private long ringKey(ActiveRequest task, int replicas) {
         double seen = recent.size();
-        boolean prefix = task.key != task.session && recent.contains(task.key);
-        double need =
-                !prefix ? 1 : recent.workFraction(task.key) * replicas / PLACE_SHARE * seen / (seen + PRIOR_REQUESTS);
+        boolean prefix = task.placementKey != task.sessionKey && recent.contains(task.placementKey);
+        double need = !prefix
+                ? 1
+                : recent.workFraction(task.placementKey) * replicas / PLACE_SHARE * seen / (seen + PRIOR_REQUESTS);
         long places = 1;
         while (places < need) {
             places *= 2;
         }
-        long place = SplitMix64.mix(~task.session) & places - 1;
-        long key = place == 0 ? task.key : SplitMix64.mix(task.key + place);
-        return places > 1 && places >= SPREAD_LIMIT * replicas ? task.session : key;
+        long place = SplitMix64.mix(~task.sessionKey) & places - 1;
+        long key = place == 0 ? task.placementKey : SplitMix64.mix(task.placementKey + place);
+        return places > 1 && places >= SPREAD_LIMIT * replicas ? task.sessionKey : key;
     }
 
     /**
@@ -350,7 +321,7 @@
         return settings.costs().crossZone() > settings.costs().wastedWork()
                 && nearReady > 0
                 && zones > 1
-                && SplitMix64.toUnitInterval(~task.session) < ZONE_EXCESS / (zones - 1);
+                && SplitMix64.toUnitInterval(~task.sessionKey) < ZONE_EXCESS / (zones - 1);
     }
 
     /**
@@ -383,8 +354,8 @@
     private double usualLag;
 
     private long capOf(EndpointState node, long limit, ActiveRequest task) {
-        double lag = Math.max(node.firstTokenLatency, node.awaitingFirstToken > 0 ? now - node.silentSince : 0);
-        double bearable = LAG_OUTLIER * Math.max(usualLag, MIN_LAG * task.aim);
+        double lag = Math.max(node.firstTokenLatencyNanos, node.awaitingFirstToken > 0 ? now - node.silentSince : 0);
+        double bearable = LAG_OUTLIER * Math.max(usualLag, MIN_LAG * task.firstTokenObjectiveNanos);
         double part = lag <= bearable ? 1 : bearable / lag;
         part *= node.inSlowStart ? present(node) : 1;
         part *= drainsNext(node) && middle(this::paceOf) < MAX_SLOWDOWN * bestPace ? NEXT_TO_DRAIN_CAP : 1;
@@ -411,7 +382,7 @@
     /** What is usual follows no slow replica: a first token counts LAG_OUTLIER times the usual at most. */
     private void judgeLag(EndpointState node, double took) {
         usualLag += usualLag == 0 ? took : (Math.min(took, LAG_OUTLIER * usualLag) - usualLag) / 64;
-        node.firstTokenLatency += (took - node.firstTokenLatency) / 8;
+        node.firstTokenLatencyNanos += (took - node.firstTokenLatencyNanos) / 8;
     }
 
     /** One attempt fewer waits for this replica's first token; a sign of life if the replica ended it. */
@@ -483,8 +454,8 @@
     private boolean sheds(ActiveRequest task) {
         double slow = 1 - SLOW_STREAMS * bestPace / middle(this::paceOf);
         double part = Math.max(middle(n -> n.lateFraction) - OVERLOAD_THRESHOLD, slow);
-        part *= claim(task.request.tenantIndex());
-        return part > 0 && SplitMix64.toUnitInterval(task.session ^ 0x5ca1ab1eL) < Math.min(MAX_SHED, part);
+        part *= claim(task.arrival.tenantIndex());
+        return part > 0 && SplitMix64.toUnitInterval(task.sessionKey ^ 0x5ca1ab1eL) < Math.min(MAX_SHED, part);
     }
 
     /**
@@ -535,7 +506,7 @@
     private final Set<KindPace> readyKinds = new LinkedHashSet<>();
 
     /** How fast replicas of one kind stream, and in how many streams that was seen. */
-    private static final class KindPace {
+    static final class KindPace {
         double pace;
         double streams;
     }
@@ -543,14 +514,14 @@
     private double paceOf(EndpointState node) {
         int own = Math.min(node.streamSamples, 16);
         double all = own + KIND_PRIOR_STREAMS;
-        return node.kind.streams == 0
+        return node.kindPace.streams == 0
                 ? node.streamSlowdown
-                : (own * node.streamSlowdown + KIND_PRIOR_STREAMS * node.kind.pace) / all;
+                : (own * node.streamSlowdown + KIND_PRIOR_STREAMS * node.kindPace.pace) / all;
     }
 
     private void judgePace(EndpointState node, ActiveRequest task, double took) {
-        double stream = Math.max(MIN_LAG * task.aim, took) / task.tokens;
-        int type = task.request.classIndex();
+        double stream = Math.max(MIN_LAG * task.firstTokenObjectiveNanos, took) / task.maxStreamTokens;
+        int type = task.arrival.classIndex();
         if (type < 0 || type >= typicalStream.length) {
             return;
         }
@@ -560,7 +531,7 @@
         }
         double ratio = Math.min(MAX_STREAM_RATIO, stream / typicalStream[type]);
         node.streamSlowdown += (ratio - node.streamSlowdown) / Math.min(++node.streamSamples, 16);
-        KindPace kind = node.kind;
+        KindPace kind = node.kindPace;
         kind.pace += (ratio - kind.pace) / Math.min(++kind.streams, 64);
         if (seen > 2 * STREAM_SAMPLES) {
             bestPace = Math.min(bestPace, middle(this::paceOf));
@@ -584,7 +555,7 @@
         node.startedAt = readyAt;
         node.consecutiveFailures = 0;
         node.ejectedUntil = 0;
-        node.firstTokenLatency = 0;
+        node.firstTokenLatencyNanos = 0;
         node.lateFraction = 0;
         boolean isCold =
                 readyAt > 0 && now - readyAt < settings.endpointLifecycle().slowStartWindowNanos();
@@ -648,58 +619,6 @@
 
     // ---- Request life ---------------------------------------------------------------------------------
 
-    /** A request that this router holds. */
-    private static final class ActiveRequest {
-        final RequestArrived request;
-        final RequestClass type;
-        final long key;
-        final long session;
-        final double work;
-        final double tokens;
-        final double aim;
-        final long lastUse;
-        final List<Attempt> attempts = new ArrayList<>(2);
-        int out;
-        boolean closed;
-
-        ActiveRequest(RequestArrived request, RequestClass type, long now) {
-            this.request = request;
-            this.type = type;
-            long own = request.sessionKey() != 0 ? request.sessionKey() : SplitMix64.mix(request.requestId());
-            this.session = own;
-            this.key = request.prefixKey() != 0 ? request.prefixKey() : own;
-            double prompt = sane(request.promptTokens());
-            this.tokens = 1 + sane(request.maxTokens());
-            this.work = prompt + tokens;
-            long deadline = now + Math.max(0, Math.min(request.timeoutNanos(), Long.MAX_VALUE - now));
-            this.aim = type.firstTokenObjectiveNanos() + prompt * type.firstTokenObjectivePerPromptTokenNanos();
-            this.lastUse = type.lateWeight() > 0 || aim >= deadline - now ? deadline : now + (long) aim;
-        }
-
-        boolean tried(EndpointState node) {
-            return !attempts.isEmpty() && attempts.stream().anyMatch(attempt -> attempt.node == node);
-        }
-    }
-
-    /** One attempt of a task. */
-    private static final class Attempt {
-        final EndpointState node;
-        final long sentAt;
-        boolean out = true;
-        boolean mayHaveRun = true;
-        boolean streaming;
-        long firstToken;
-
-        Attempt(EndpointState node, long sentAt) {
-            this.node = node;
-            this.sentAt = sentAt;
-        }
-    }
-
-    private static double sane(double x) {
-        return x > 0 && x < 1e9 ? x : 0;
-    }
-
     private final Map<Long, ActiveRequest> tasks = new HashMap<>();
     private final ArrayDeque<ActiveRequest> held = new ArrayDeque<>();
     private boolean heldTimer;
@@ -719,7 +638,7 @@
         ActiveRequest task = new ActiveRequest(request, settings.requestClass(request.classIndex()), now);
         tasks.put(request.requestId(), task);
         retryCredit = Math.min(retryBurst, retryCredit + RETRY_PART);
-        recent.add(task.key, task.work, RECENT_PER_REPLICA * Math.max(16, ready));
+        recent.add(task.placementKey, task.work, RECENT_PER_REPLICA * Math.max(16, ready));
         countTenant(request.tenantIndex());
         if (sheds(task)) {
             giveUp(task);
@@ -730,10 +649,10 @@
 
     /** Sends the task's next attempt, or holds the task while no replica may take it. */
     private void place(ActiveRequest task) {
-        EndpointState node = now < task.lastUse ? walk(task) : null;
+        EndpointState node = now < task.lastUsefulAt ? walk(task) : null;
         if (node != null) {
             send(task, node);
-        } else if (now < task.lastUse && task.attempts.isEmpty()) {
+        } else if (now < task.lastUsefulAt && task.attemptCount() == 0) {
             held.add(task);
             armHeld();
         } else {
@@ -742,15 +661,14 @@
     }
 
     private void send(ActiveRequest task, EndpointState node) {
-        task.attempts.add(new Attempt(node, now));
-        task.out++;
+        task.addAttempt(node, now);
         count(node, 1);
         node.silentSince = node.awaitingFirstToken++ == 0 ? now : node.silentSince;
         if (node.inSlowStart) {
             node.slowStartNextAttemptAt = now + (long) coldGap(node, task.work);
         }
         countWork(task.work);
-        sink.perform(new StartAttempt(task.request.requestId(), node.id, stopAt(task)));
+        sink.perform(new StartAttempt(task.id(), node.id, stopAt(task)));
     }
 
     /**
@@ -763,12 +681,12 @@
     static final double FIRST_TOKEN_OUTLIER = 6;
 
     private long stopAt(ActiveRequest task) {
-        boolean early = task.type.idempotency() == Idempotency.IDEMPOTENT
-                && task.attempts.size() == 1
+        boolean early = task.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                && task.attemptCount() == 1
                 && retryCredit >= 1
                 && ready > 1;
-        double patience = Math.max(FIRST_TOKEN_TIMEOUT * task.aim, FIRST_TOKEN_OUTLIER * usualLag);
-        return early && patience < task.lastUse - now ? now + (long) patience : task.lastUse;
+        double patience = Math.max(FIRST_TOKEN_TIMEOUT * task.firstTokenObjectiveNanos, FIRST_TOKEN_OUTLIER * usualLag);
+        return early && patience < task.lastUsefulAt - now ? now + (long) patience : task.lastUsefulAt;
     }
 
     private void count(EndpointState node, int change) {
@@ -789,11 +707,11 @@
         warmUp();
         for (int n = held.size(); n > 0; n--) {
             ActiveRequest task = held.poll();
-            if (task.closed) {
+            if (task.isAnswered()) {
                 continue;
             }
             EndpointState node = walk(task);
-            if (now + 10 * settings.tickNanos() >= task.lastUse) {
+            if (now + 10 * settings.tickNanos() >= task.lastUsefulAt) {
                 giveUp(task);
             } else if (node != null) {
                 send(task, node);
@@ -805,54 +723,52 @@
 
     private void started(ResponseStarted event) {
         ActiveRequest task = tasks.get(event.requestId());
-        if (task == null || event.attempt() >= task.attempts.size()) {
+        if (task == null || event.attempt() >= task.attemptCount()) {
             return;
         }
-        Attempt attempt = task.attempts.get(event.attempt());
-        attempt.streaming = true;
-        attempt.firstToken = event.elapsedNanos();
-        heard(attempt.node, true);
-        judgeLag(attempt.node, event.elapsedNanos());
-        answered(attempt.node, false);
-        judgeLoad(attempt.node, event.elapsedNanos() > task.aim * 0.8);
+        Attempt attempt = task.attempt(event.attempt());
+        attempt.responseStarted = true;
+        attempt.firstTokenNanos = event.elapsedNanos();
+        heard(attempt.endpoint, true);
+        judgeLag(attempt.endpoint, event.elapsedNanos());
+        answered(attempt.endpoint, false);
+        judgeLoad(attempt.endpoint, event.elapsedNanos() > task.firstTokenObjectiveNanos * 0.8);
         close(task);
     }
 
     private void ended(AttemptEnded event) {
         ActiveRequest task = tasks.get(event.requestId());
-        if (task == null || event.attempt() >= task.attempts.size()) {
+        if (task == null || event.attempt() >= task.attemptCount()) {
             return;
         }
-        Attempt attempt = task.attempts.get(event.attempt());
-        if (!attempt.out) {
+        Attempt attempt = task.attempt(event.attempt());
+        if (!attempt.inFlight) {
             return;
         }
-        EndpointState node = attempt.node;
+        EndpointState node = attempt.endpoint;
         boolean silent = event.outcome() == AttemptOutcome.TIMEOUT || event.outcome() == AttemptOutcome.STALLED;
-        attempt.out = false;
-        attempt.mayHaveRun = event.outcome().mayHaveRun();
-        task.out--;
+        task.endAttempt(attempt, event.outcome().mayHaveRun());
         count(node, -1);
-        if (!attempt.streaming) {
+        if (!attempt.responseStarted) {
             heard(node, !silent && event.outcome() != AttemptOutcome.CANCELLED);
         }
-        if (silent && !attempt.streaming) {
+        if (silent && !attempt.responseStarted) {
             judgeLag(node, event.elapsedNanos());
         }
-        judge(node, event.outcome(), attempt.streaming);
-        if (event.outcome() == AttemptOutcome.SERVED && attempt.streaming) {
-            judgePace(node, task, event.elapsedNanos() - attempt.firstToken);
+        judge(node, event.outcome(), attempt.responseStarted);
+        if (event.outcome() == AttemptOutcome.SERVED && attempt.responseStarted) {
+            judgePace(node, task, event.elapsedNanos() - attempt.firstTokenNanos);
         }
-        if (silent && !attempt.streaming || event.outcome() == AttemptOutcome.FULL) {
+        if (silent && !attempt.responseStarted || event.outcome() == AttemptOutcome.FULL) {
             judgeLoad(node, true);
         }
         if (event.requestFinished() || event.outcome() == AttemptOutcome.SERVED) {
             close(task);
-        } else if (!task.closed && task.out == 0) {
+        } else if (!task.isAnswered() && !task.hasAttemptsInFlight()) {
             again(task, event.outcome());
         }
-        if (task.closed && task.out == 0) {
-            tasks.remove(task.request.requestId());
+        if (task.isAnswered() && !task.hasAttemptsInFlight()) {
+            tasks.remove(task.id());
         }
     }
 
@@ -860,8 +776,8 @@
     private void again(ActiveRequest task, AttemptOutcome outcome) {
         boolean free = outcome == AttemptOutcome.CONNECT_FAILED;
         boolean budget = (free || retryCredit >= 1)
-                && task.attempts.size() < settings.limits().maxAttempts();
-        if (budget && outcome != AttemptOutcome.CANCELLED && now < task.lastUse) {
+                && task.attemptCount() < settings.limits().maxAttempts();
+        if (budget && outcome != AttemptOutcome.CANCELLED && now < task.lastUsefulAt) {
             retryCredit -= free ? 0 : 1;
             place(task);
         } else {
@@ -871,52 +787,44 @@
 
     /** Whether the effect rules let the task go to this replica. */
     private boolean permitted(ActiveRequest task, EndpointState node) {
-        Attempt first = firstThatMayHaveRun(task);
-        if (task.type.idempotency() == Idempotency.IDEMPOTENT || first == null) {
+        Attempt first = task.firstThatMayHaveRun();
+        if (task.requestClass.idempotency() == Idempotency.IDEMPOTENT || first == null) {
             return true;
         }
-        if (task.type.idempotency() == Idempotency.NOT_IDEMPOTENT
-                || now - first.sentAt >= task.type.idempotencyWindowNanos()) {
+        if (task.requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT
+                || now - first.startedAt >= task.requestClass.idempotencyWindowNanos()) {
             return false;
         }
-        return switch (task.type.idempotencyScope()) {
+        return switch (task.requestClass.idempotencyScope()) {
             case ALL -> true;
-            case ZONE -> node.zone == first.node.zone;
-            case CELL -> node.zone == first.node.zone && node.cell == first.node.cell;
+            case ZONE -> node.zone == first.endpoint.zone;
+            case CELL -> node.zone == first.endpoint.zone && node.cell == first.endpoint.cell;
         };
     }
 
-    private static Attempt firstThatMayHaveRun(ActiveRequest task) {
-        return task.attempts.stream()
-                .filter(attempt -> attempt.mayHaveRun)
-                .findFirst()
-                .orElse(null);
-    }
-
     /** The final answer when there is nothing more to try: a refusal where the rules let it be one. */
     private void giveUp(ActiveRequest task) {
-        boolean refusable = task.type.isRejectable(firstThatMayHaveRun(task) != null);
+        boolean refusable = task.requestClass.isRejectable(task.firstThatMayHaveRun() != null);
         sink.perform(
                 refusable
-                        ? new RejectRequest(
-                                task.request.requestId(), settings.limits().maxRetryAfterNanos())
-                        : new FailRequest(task.request.requestId()));
+                        ? new RejectRequest(task.id(), settings.limits().maxRetryAfterNanos())
+                        : new FailRequest(task.id()));
         close(task);
     }
 
     /** The task has its final answer; its attempts still count until each has ended. */
     private void close(ActiveRequest task) {
-        if (!task.closed) {
-            task.closed = true;
-            for (int i = 0; i < task.attempts.size() && settings.limits().cancellation(); i++) {
-                Attempt attempt = task.attempts.get(i);
-                if (attempt.out && !attempt.streaming) {
-                    sink.perform(new CancelAttempt(task.request.requestId(), i));
+        if (!task.isAnswered()) {
+            task.markAnswered();
+            for (int i = 0; i < task.attemptCount() && settings.limits().cancellation(); i++) {
+                Attempt attempt = task.attempt(i);
+                if (attempt.inFlight && !attempt.responseStarted) {
+                    sink.perform(new CancelAttempt(task.id(), i));
                 }
             }
         }
-        if (task.out == 0) {
-            tasks.remove(task.request.requestId());
+        if (!task.hasAttemptsInFlight()) {
+            tasks.remove(task.id());
         }
     }
 
@@ -924,9 +832,9 @@
 
     private void answered(EndpointState node, boolean whole) {
         lostCount = node.zone == lostZone ? 0 : lostCount;
-        node.stalls = whole ? 0 : node.stalls;
-        node.consecutiveFailures = node.stalls;
-        node.ejectedUntil = node.stalls > 0 ? node.ejectedUntil : 0;
+        node.stallFailures = whole ? 0 : node.stallFailures;
+        node.consecutiveFailures = node.stallFailures;
+        node.ejectedUntil = node.stallFailures > 0 ? node.ejectedUntil : 0;
     }
 
     /**
@@ -941,8 +849,8 @@
                 || outcome == AttemptOutcome.RESET
                 || outcome == AttemptOutcome.CONNECT_FAILED
                 || outcome == AttemptOutcome.STALLED && streaming) {
-            node.stalls += outcome == AttemptOutcome.STALLED ? 2 : 0;
-            node.consecutiveFailures = Math.max(node.consecutiveFailures + 1, node.stalls);
+            node.stallFailures += outcome == AttemptOutcome.STALLED ? 2 : 0;
+            node.consecutiveFailures = Math.max(node.consecutiveFailures + 1, node.stallFailures);
             boolean counts = node.consecutiveFailures == 1 || lostCount >= LOST_ZONE_FAILURES;
             if (outcome == AttemptOutcome.CONNECT_FAILED && counts) {
                 lostCount = node.zone == lostZone ? lostCount + 1 : 1;
