--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -254,7 +254,7 @@
             }
             node.lastPass = mark;
             left--;
-            if (!permitted(task, node) || task.wasTriedOn(node)) {
+            if (!IdempotencyRules.permits(task, node, now) || task.wasTriedOn(node)) {
                 continue;
             }
             boolean rests = node.ejectedUntil > now || node.inSlowStart && now < node.slowStartNextAttemptAt;
@@ -785,28 +785,10 @@
         }
     }
 
-    /** Whether the effect rules let the task go to this replica. */
-    private boolean permitted(ActiveRequest task, EndpointState node) {
-        Attempt first = task.firstThatMayHaveRun();
-        if (task.requestClass.idempotency() == Idempotency.IDEMPOTENT || first == null) {
-            return true;
-        }
-        if (task.requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT
-                || now - first.startedAt >= task.requestClass.idempotencyWindowNanos()) {
-            return false;
-        }
-        return switch (task.requestClass.idempotencyScope()) {
-            case ALL -> true;
-            case ZONE -> node.zone == first.endpoint.zone;
-            case CELL -> node.zone == first.endpoint.zone && node.cell == first.endpoint.cell;
-        };
-    }
-
     /** The final answer when there is nothing more to try: a refusal where the rules let it be one. */
     private void giveUp(ActiveRequest task) {
-        boolean refusable = task.requestClass.isRejectable(task.firstThatMayHaveRun() != null);
         sink.perform(
-                refusable
+                IdempotencyRules.mayReject(task)
                         ? new RejectRequest(task.id(), settings.limits().maxRetryAfterNanos())
                         : new FailRequest(task.id()));
         close(task);
--- /dev/null
+++ b/node/src/main/java/fawnlb/policy/IdempotencyRules.java
@@ -0,0 +1,42 @@
+package fawnlb.policy;
+
+import fawnlb.decision.Idempotency;
+import fawnlb.decision.LoadBalancerSettings.RequestClass;
+
+/**
+ * Decides where a request may be run again, and how it may be answered, after an attempt that may have taken effect.
+ */
+final class IdempotencyRules {
+    private IdempotencyRules() {}
+
+    /** Whether the request may run on this endpoint. */
+    static boolean permits(ActiveRequest request, EndpointState endpoint, long now) {
+        RequestClass requestClass = request.requestClass;
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENT) {
+            return true;
+        }
+        Attempt first = request.firstThatMayHaveRun();
+        if (first == null) {
+            return true;
+        }
+        if (requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT) {
+            return false;
+        }
+        boolean keyIsRemembered = now - first.startedAt < requestClass.idempotencyWindowNanos();
+        return keyIsRemembered && sharesKeys(first.endpoint, endpoint, requestClass);
+    }
+
+    /** Whether two endpoints drop repeats of each other's requests. */
+    private static boolean sharesKeys(EndpointState first, EndpointState other, RequestClass requestClass) {
+        return switch (requestClass.idempotencyScope()) {
+            case ALL -> true;
+            case ZONE -> first.zone == other.zone;
+            case CELL -> first.zone == other.zone && first.cell == other.cell;
+        };
+    }
+
+    /** Whether the request may be rejected, which tells its client that it may send it again. */
+    static boolean mayReject(ActiveRequest request) {
+        return request.requestClass.isRejectable(request.firstThatMayHaveRun() != null);
+    }
+}
