--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -47,11 +47,6 @@
 
     // ---- Settings -------------------------------------------------------------------------------------
 
-    /** The cap is a replica's even part of the load times CAP_NUM / CAP_DEN, that is 1.25. */
-    static final int CAP_NUM = 5;
-
-    static final int CAP_DEN = 4;
-
     private static final long SECOND = 1_000_000_000L;
     private static final double NEVER = 1e15;
     private static final int LIST_TIMER = 0;
@@ -219,12 +214,6 @@
         nodes.values().removeIf(node -> node.phase == EndpointPhase.GONE && node.inFlight == 0);
     }
 
-    /** ceil(1.25 * (total + 1) / replicas), in whole numbers; widened by so many thousandths. */
-    static long cap(long total, long replicas, long wide) {
-        long divisor = CAP_DEN * NARROW * Math.max(1, replicas);
-        return (CAP_NUM * wide * (total + 1) + divisor - 1) / divisor;
-    }
-
     private EndpointState walk(ActiveRequest task) {
         EndpointState near = keepsNear(task) ? walk(task, true) : null;
         return near != null ? near : walk(task, false);
@@ -242,7 +231,7 @@
         long key = ringKey(task, replicas);
         int at = ring.firstIndexFor(key);
         EndpointState fallback = null;
-        long limit = Math.max(QUIET_CAP, cap(near ? nearTotal : total, replicas, wide));
+        long limit = loadBound.limit(near ? nearTotal : total, replicas);
         double quickest = quickestPace();
         long mark = ++visits;
         int left = near ? nearReady : ready;
@@ -263,7 +252,11 @@
             }
             if (node.inFlight < capOf(node, limit, task) && keeps(key, node, quickest)) {
                 if (task.attemptCount() == 0) {
-                    countSpill(fallback != null);
+                    if (fallback != null) {
+                        loadBound.recordSpilled();
+                    } else {
+                        loadBound.recordPlaced();
+                    }
                 }
                 return node;
             }
@@ -274,12 +267,6 @@
 
     // ---- Exceptions -----------------------------------------------------------------------------------
 
-    /**
-     * Quiet router: at a cap of one, a second request for a replica would leave its kept beginning for a neighbour that
-     * other routers pick at the same moment. So the cap is never below this.
-     */
-    static final int QUIET_CAP = 2;
-
     /**
      * Hot prefix: one prefix that draws more than the cap lets a replica carry would be spilled by every router to the
      * same neighbours. While its part of this router's last requests is above PLACE_SHARE of a replica's part, its
@@ -324,22 +311,7 @@
                 && SplitMix64.toUnitInterval(~task.sessionKey) < ZONE_EXCESS / (zones - 1);
     }
 
-    /**
-     * Spill guard: when many requests find their first replica at the cap, no replica is hot but all are full, and
-     * spilling only trades kept prompts for unread ones. While more than SPILL_PART of the last requests would leave
-     * their first replica, the cap widens step by step; it narrows again below that.
-     */
-    static final double SPILL_PART = 0.1;
-
-    static final long NARROW = 1000;
-    static final long WIDEST = 4 * NARROW;
-    private double spilled;
-    private long wide = NARROW;
-
-    private void countSpill(boolean spills) {
-        spilled += ((spills ? 1 : 0) - spilled) / 64;
-        wide = Math.max(NARROW, Math.min(WIDEST, wide + (spilled > SPILL_PART ? wide : -wide) / 100));
-    }
+    private final LoadBound loadBound = new LoadBound();
 
     /**
      * Slow replica: a count says nothing of how fast it shrinks, and a replica that has slowed down or fallen silent
--- a/node/src/test/java/fawnlb/policy/EndpointSelectionTest.java
+++ b/node/src/test/java/fawnlb/policy/EndpointSelectionTest.java
@@ -87,13 +87,13 @@
 
     @Test
     void boundIsFiveQuartersOfTheEvenShareRoundedUp() {
-        assertEquals(1, BoundedLoadBalancer.cap(0, 4, BoundedLoadBalancer.NARROW));
-        assertEquals(1, BoundedLoadBalancer.cap(2, 4, BoundedLoadBalancer.NARROW));
-        assertEquals(2, BoundedLoadBalancer.cap(3, 4, BoundedLoadBalancer.NARROW));
-        assertEquals(5, BoundedLoadBalancer.cap(15, 4, BoundedLoadBalancer.NARROW));
-        assertEquals(6, BoundedLoadBalancer.cap(16, 4, BoundedLoadBalancer.NARROW));
-        assertEquals(2, BoundedLoadBalancer.cap(0, 0, BoundedLoadBalancer.NARROW));
-        assertEquals(10, BoundedLoadBalancer.cap(15, 4, 2 * BoundedLoadBalancer.NARROW));
+        assertEquals(1, LoadBound.bound(0, 4, LoadBound.UNWIDENED));
+        assertEquals(1, LoadBound.bound(2, 4, LoadBound.UNWIDENED));
+        assertEquals(2, LoadBound.bound(3, 4, LoadBound.UNWIDENED));
+        assertEquals(5, LoadBound.bound(15, 4, LoadBound.UNWIDENED));
+        assertEquals(6, LoadBound.bound(16, 4, LoadBound.UNWIDENED));
+        assertEquals(2, LoadBound.bound(0, 0, LoadBound.UNWIDENED));
+        assertEquals(10, LoadBound.bound(15, 4, 2 * LoadBound.UNWIDENED));
     }
 
     @Test
@@ -104,9 +104,7 @@
         for (int i = 0; i < 60; i++) {
             harness.arrive(5, 5);
             int count = out.merge(harness.lastAttempt().endpointId(), 1, Integer::sum);
-            assertTrue(count
-                    <= Math.max(
-                            BoundedLoadBalancer.QUIET_CAP, BoundedLoadBalancer.cap(i, 10, BoundedLoadBalancer.WIDEST)));
+            assertTrue(count <= Math.max(LoadBound.MIN_BOUND, LoadBound.bound(i, 10, LoadBound.MAX_WIDENING)));
         }
         assertTrue(out.size() >= 5, "used " + out.size());
     }
@@ -150,7 +148,7 @@
             LoadBalancerHarness harness =
                     new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
             long home = harness.primaryEndpoint(3);
-            for (int i = 0; i < BoundedLoadBalancer.QUIET_CAP; i++) {
+            for (int i = 0; i < LoadBound.MIN_BOUND; i++) {
                 harness.arrive(0, 3);
                 assertEquals(home, harness.lastAttempt().endpointId());
                 harness.endAttempt(harness.lastAttempt(), 0, outcome, true);
--- a/node/src/test/java/fawnlb/policy/LoadAdaptationTest.java
+++ b/node/src/test/java/fawnlb/policy/LoadAdaptationTest.java
@@ -330,7 +330,7 @@
                 .mapToLong(Long::longValue)
                 .max()
                 .orElse(0);
-        assertTrue(busiest > BoundedLoadBalancer.cap(400, 4, BoundedLoadBalancer.NARROW), "busiest " + busiest);
+        assertTrue(busiest > LoadBound.bound(400, 4, LoadBound.UNWIDENED), "busiest " + busiest);
     }
 
     /** First events forgive quick failures; a stall in mid-answer only a whole answer does. */
