--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -228,7 +228,7 @@
             return null;
         }
         int replicas = near ? nearReady : warmReady();
-        long key = ringKey(task, replicas);
+        long key = spreader.ringKey(task, replicas);
         int at = ring.firstIndexFor(key);
         EndpointState fallback = null;
         long limit = loadBound.limit(near ? nearTotal : total, replicas);
@@ -267,35 +267,7 @@
 
     // ---- Exceptions -----------------------------------------------------------------------------------
 
-    /**
-     * Hot prefix: one prefix that draws more than the cap lets a replica carry would be spilled by every router to the
-     * same neighbours. While its part of this router's last requests is above PLACE_SHARE of a replica's part, its
-     * sessions are dealt over so many places on the ring that each stays below that; each place reads the prefix once.
-     * Places lump by chance: from SPREAD_LIMIT of the replicas on each session is one. A router believes a part seen in
-     * PRIOR_REQUESTS requests by half; that does not grow with the fleet, since what a router sees doesn't, and all
-     * would leave a hot prefix whole.
-     */
-    static final double PLACE_SHARE = 0.25;
-
-    static final double PRIOR_REQUESTS = 16;
-    static final double SPREAD_LIMIT = 0.25;
-    static final int RECENT_PER_REPLICA = 8;
-    private final RecentKeys recent = new RecentKeys();
-
-    private long ringKey(ActiveRequest task, int replicas) {
-        double seen = recent.size();
-        boolean prefix = task.placementKey != task.sessionKey && recent.contains(task.placementKey);
-        double need = !prefix
-                ? 1
-                : recent.workFraction(task.placementKey) * replicas / PLACE_SHARE * seen / (seen + PRIOR_REQUESTS);
-        long places = 1;
-        while (places < need) {
-            places *= 2;
-        }
-        long place = SplitMix64.mix(~task.sessionKey) & places - 1;
-        long key = place == 0 ? task.placementKey : SplitMix64.mix(task.placementKey + place);
-        return places > 1 && places >= SPREAD_LIMIT * replicas ? task.sessionKey : key;
-    }
+    private final HotKeySpreader spreader = new HotKeySpreader();
 
     /**
      * Near keys: where the site counts a crossing of zones for more than wasted work, a part of the keys stays in the
@@ -610,7 +582,7 @@
         ActiveRequest task = new ActiveRequest(request, settings.requestClass(request.classIndex()), now);
         tasks.put(request.requestId(), task);
         retryCredit = Math.min(retryBurst, retryCredit + RETRY_PART);
-        recent.add(task.placementKey, task.work, RECENT_PER_REPLICA * Math.max(16, ready));
+        spreader.record(task, ready);
         countTenant(request.tenantIndex());
         if (sheds(task)) {
             giveUp(task);
--- a/node/src/test/java/fawnlb/policy/StateRetentionTest.java
+++ b/node/src/test/java/fawnlb/policy/StateRetentionTest.java
@@ -76,10 +76,10 @@
         assertTrue("numbers of those that left are used again", sizeOf(ring, "servers") <= LIVE_ENDPOINTS + 2);
         assertEquals(0, sizeOf(harness.loadBalancer, "tasks"));
         assertEquals(0, sizeOf(harness.loadBalancer, "held"));
-        RecentKeys recent = (RecentKeys) field(harness.loadBalancer, "recent");
-        assertTrue(recent.size() <= BoundedLoadBalancer.RECENT_PER_REPLICA * 16);
-        assertTrue(sizeOf(recent, "sums") <= BoundedLoadBalancer.RECENT_PER_REPLICA * 16);
-        assertTrue(sizeOf(recent, "keys") <= 2 * BoundedLoadBalancer.RECENT_PER_REPLICA * 16);
+        RecentKeys recent = (RecentKeys) field(field(harness.loadBalancer, "spreader"), "recent");
+        assertTrue(recent.size() <= HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
+        assertTrue(sizeOf(recent, "sums") <= HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
+        assertTrue(sizeOf(recent, "keys") <= 2 * HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
         assertTrue("cold ones of 9 s", sizeOf(harness.loadBalancer, "coldNodes") <= 9000 / 60 + 2);
     }
 }
