--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -26,14 +26,12 @@
 import fawnlb.membership.SubscriptionSchedule;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.BitSet;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.ToDoubleFunction;
 
 /**
  * All decisions of one router. The interface (settings, events, actions) is decision.Balancer.
@@ -60,6 +58,7 @@
     public BoundedLoadBalancer(LoadBalancerSettings settings, long seed, ActionSink sink) {
         this.settings = settings;
         this.sink = sink;
+        this.endpoints = new EndpointTable(settings.zone());
         this.sent = settings.tenants().stream().mapToDouble(Tenant::share).toArray();
         this.typicalStream = new double[settings.requestClasses().size()];
         this.streamsSeen = new int[settings.requestClasses().size()];
@@ -92,16 +91,7 @@
 
     // ---- List -----------------------------------------------------------------------------------------
 
-    private final Map<Long, EndpointState> nodes = new HashMap<>();
-    /** Those that are ready, and a place for a figure of each. */
-    private final List<EndpointState> readyNodes = new ArrayList<>();
-
-    private double[] figures = new double[0];
-    private int ready;
-    private int cold;
-    private int nearReady;
-    private int zones;
-    private int nearTotal;
+    private final EndpointTable endpoints;
     private final SubscriptionSchedule subscription;
 
     private void listed(EndpointsUpdated news) {
@@ -111,59 +101,22 @@
         if (news.kind().isFailure()) {
             return;
         }
-        List<EndpointState> joined = new ArrayList<>();
-        boolean left = false;
-        boolean whole = news.kind() == EndpointUpdateKind.FULL || news.kind() == EndpointUpdateKind.CACHED;
-        long mark = ++visits;
-        for (Endpoint replica : news.endpoints()) {
-            EndpointState node = nodes.computeIfAbsent(replica.id(), EndpointState::new);
-            boolean listed = replica.phase() != EndpointPhase.GONE;
-            update(node, replica);
-            node.lastPass = mark;
-            if (listed && !node.onRing) {
-                node.onRing = true;
-                joined.add(node);
-            }
-            left |= !listed;
-        }
-        left |= whole && leaveOut(mark);
-        if (!joined.isEmpty()) {
-            ring.add(joined, node -> node.id);
-        }
-        if (left) {
-            removeGone();
-        }
+        endpoints.update(news, this::beforeUpdate);
         recount();
-        if (meanCost == 0 && ready == cold) {
+        if (meanCost == 0 && endpoints.areAllInSlowStart()) {
             coldNodes.forEach(node -> node.slowStartNextAttemptAt = now);
         }
         serveHeld();
     }
 
-    /** A whole list names those that are gone by leaving them out. */
-    private boolean leaveOut(long mark) {
-        boolean left = false;
-        for (EndpointState node : nodes.values()) {
-            if (node.lastPass != mark && node.phase != EndpointPhase.GONE) {
-                node.phase = EndpointPhase.GONE;
-                left = true;
-            }
-        }
-        return left;
-    }
-
-    private void update(EndpointState node, Endpoint replica) {
+    private void beforeUpdate(EndpointState node, Endpoint replica) {
         if (replica.startedAt() != node.startedAt) {
             restarted(node, replica.startedAt());
         }
         if (replica.phase() == EndpointPhase.DRAINING && node.phase == EndpointPhase.READY) {
             drains();
         }
-        node.phase = replica.phase();
-        node.zone = replica.zone();
-        node.cell = replica.cell();
         node.kindPace = kindPaces.computeIfAbsent(replica.kind(), kind -> new KindPace());
-        node.capacity = replica.capacity();
     }
 
     /** The last timer that was set counts: if all did, each call that fails would leave two behind. */
@@ -179,41 +132,14 @@
     }
 
     private void recount() {
-        ready = 0;
-        cold = 0;
-        nearReady = 0;
-        nearTotal = 0;
-        readyNodes.clear();
+        endpoints.recount();
         readyKinds.clear();
-        BitSet met = new BitSet();
-        for (EndpointState node : nodes.values()) {
-            boolean here = node.zone == settings.zone();
-            nearTotal += here ? node.inFlight : 0;
-            if (node.phase == EndpointPhase.READY) {
-                nearReady += here ? 1 : 0;
-                met.set(Math.max(0, node.zone));
-                readyNodes.add(node);
-                readyKinds.add(node.kindPace);
-                ready++;
-                cold += node.inSlowStart ? 1 : 0;
-            }
-        }
-        zones = met.cardinality();
+        endpoints.ready().forEach(node -> readyKinds.add(node.kindPace));
         findNextToDrain();
     }
 
     // ---- Ring and cap ---------------------------------------------------------------------------------
 
-    private final HashRing<EndpointState> ring = new HashRing<>();
-    private long visits;
-    private int total;
-
-    private void removeGone() {
-        ring.removeIf(node -> node.phase == EndpointPhase.GONE);
-        nodes.values().forEach(node -> node.onRing &= node.phase != EndpointPhase.GONE);
-        nodes.values().removeIf(node -> node.phase == EndpointPhase.GONE && node.inFlight == 0);
-    }
-
     private EndpointState walk(ActiveRequest task) {
         EndpointState near = keepsNear(task) ? walk(task, true) : null;
         return near != null ? near : walk(task, false);
@@ -224,21 +150,21 @@
      * it; null if none. Near: only replicas of this router's zone are met and counted.
      */
     private EndpointState walk(ActiveRequest task, boolean near) {
-        if (ring.size() == 0) {
+        if (endpoints.ring().size() == 0) {
             return null;
         }
-        int replicas = near ? nearReady : warmReady();
+        int replicas = near ? endpoints.localReadyCount() : endpoints.warmCount();
         long key = spreader.ringKey(task, replicas);
-        int at = ring.firstIndexFor(key);
+        int at = endpoints.ring().firstIndexFor(key);
         EndpointState fallback = null;
-        long limit = loadBound.limit(near ? nearTotal : total, replicas);
+        long limit = loadBound.limit(near ? endpoints.localInFlight() : endpoints.inFlight(), replicas);
         double quickest = quickestPace();
-        long mark = ++visits;
-        int left = near ? nearReady : ready;
-        for (int i = at, seen = 0; seen < ring.size() && left > 0; seen++) {
-            EndpointState node = ring.endpointAt(i);
-            i = i + 1 == ring.size() ? 0 : i + 1;
-            if (node.lastPass == mark || node.phase != EndpointPhase.READY || near && node.zone != settings.zone()) {
+        long mark = endpoints.nextPass();
+        int left = near ? endpoints.localReadyCount() : endpoints.readyCount();
+        for (int i = at, seen = 0; seen < endpoints.ring().size() && left > 0; seen++) {
+            EndpointState node = endpoints.ring().endpointAt(i);
+            i = i + 1 == endpoints.ring().size() ? 0 : i + 1;
+            if (node.lastPass == mark || node.phase != EndpointPhase.READY || near && !endpoints.isLocal(node)) {
                 continue;
             }
             node.lastPass = mark;
@@ -278,9 +204,9 @@
 
     private boolean keepsNear(ActiveRequest task) {
         return settings.costs().crossZone() > settings.costs().wastedWork()
-                && nearReady > 0
-                && zones > 1
-                && SplitMix64.toUnitInterval(~task.sessionKey) < ZONE_EXCESS / (zones - 1);
+                && endpoints.localReadyCount() > 0
+                && endpoints.zoneCount() > 1
+                && SplitMix64.toUnitInterval(~task.sessionKey) < ZONE_EXCESS / (endpoints.zoneCount() - 1);
     }
 
     private final LoadBound loadBound = new LoadBound();
@@ -302,7 +228,9 @@
         double bearable = LAG_OUTLIER * Math.max(usualLag, MIN_LAG * task.firstTokenObjectiveNanos);
         double part = lag <= bearable ? 1 : bearable / lag;
         part *= node.inSlowStart ? present(node) : 1;
-        part *= drainsNext(node) && middle(this::paceOf) < MAX_SLOWDOWN * bestPace ? NEXT_TO_DRAIN_CAP : 1;
+        part *= drainsNext(node) && endpoints.readyMedian(this::paceOf) < MAX_SLOWDOWN * bestPace
+                ? NEXT_TO_DRAIN_CAP
+                : 1;
         return Math.max(1, (long) (limit * part));
     }
 
@@ -357,8 +285,10 @@
 
     /** Where many started together, none of them is known to be the next. */
     private void findNextToDrain() {
-        long[] starts =
-                readyNodes.stream().mapToLong(node -> node.startedAt).sorted().toArray();
+        long[] starts = endpoints.ready().stream()
+                .mapToLong(node -> node.startedAt)
+                .sorted()
+                .toArray();
         drainsNextBefore = starts.length >= 2 * NEXT_TO_DRAIN ? starts[NEXT_TO_DRAIN] : 0;
     }
 
@@ -380,24 +310,9 @@
         node.lateFraction += ((late ? 1 : 0) - node.lateFraction) / 16;
     }
 
-    /** The middle one of the ready replicas' figures. */
-    private double middle(ToDoubleFunction<EndpointState> figure) {
-        int count = readyNodes.size();
-        if (count == 0) {
-            return 0;
-        }
-        if (figures.length < count) {
-            figures = new double[count];
-        }
-        for (int i = 0; i < count; i++) {
-            figures[i] = figure.applyAsDouble(readyNodes.get(i));
-        }
-        return OrderStatistics.upperMedian(figures, count);
-    }
-
     private boolean sheds(ActiveRequest task) {
-        double slow = 1 - SLOW_STREAMS * bestPace / middle(this::paceOf);
-        double part = Math.max(middle(n -> n.lateFraction) - OVERLOAD_THRESHOLD, slow);
+        double slow = 1 - SLOW_STREAMS * bestPace / endpoints.readyMedian(this::paceOf);
+        double part = Math.max(endpoints.readyMedian(n -> n.lateFraction) - OVERLOAD_THRESHOLD, slow);
         part *= claim(task.arrival.tenantIndex());
         return part > 0 && SplitMix64.toUnitInterval(task.sessionKey ^ 0x5ca1ab1eL) < Math.min(MAX_SHED, part);
     }
@@ -478,7 +393,7 @@
         KindPace kind = node.kindPace;
         kind.pace += (ratio - kind.pace) / Math.min(++kind.streams, 64);
         if (seen > 2 * STREAM_SAMPLES) {
-            bestPace = Math.min(bestPace, middle(this::paceOf));
+            bestPace = Math.min(bestPace, endpoints.readyMedian(this::paceOf));
         }
     }
 
@@ -520,7 +435,7 @@
     private double coldGap(EndpointState node, double cost) {
         EndpointLifecycle rules = settings.endpointLifecycle();
         double budget = present(node) * (1 + rules.slowStartOverloadMultiple()) / 2;
-        double rate = budget * decayedRate() / Math.max(1, warmReady());
+        double rate = budget * decayedRate() / Math.max(1, endpoints.warmCount());
         return Math.min(NEVER, cost / Math.max(rate, 1e-12));
     }
 
@@ -556,11 +471,6 @@
         recount();
     }
 
-    /** Replicas that the cap counts: all that are ready and warm, or all ready ones when none is warm. */
-    private int warmReady() {
-        return ready > cold ? ready - cold : ready;
-    }
-
     // ---- Request life ---------------------------------------------------------------------------------
 
     private final Map<Long, ActiveRequest> tasks = new HashMap<>();
@@ -582,7 +492,7 @@
         ActiveRequest task = new ActiveRequest(request, settings.requestClass(request.classIndex()), now);
         tasks.put(request.requestId(), task);
         retryCredit = Math.min(retryBurst, retryCredit + RETRY_PART);
-        spreader.record(task, ready);
+        spreader.record(task, endpoints.readyCount());
         countTenant(request.tenantIndex());
         if (sheds(task)) {
             giveUp(task);
@@ -606,7 +516,7 @@
 
     private void send(ActiveRequest task, EndpointState node) {
         task.addAttempt(node, now);
-        count(node, 1);
+        endpoints.onAttemptStarted(node);
         node.silentSince = node.awaitingFirstToken++ == 0 ? now : node.silentSince;
         if (node.inSlowStart) {
             node.slowStartNextAttemptAt = now + (long) coldGap(node, task.work);
@@ -628,17 +538,11 @@
         boolean early = task.requestClass.idempotency() == Idempotency.IDEMPOTENT
                 && task.attemptCount() == 1
                 && retryCredit >= 1
-                && ready > 1;
+                && endpoints.readyCount() > 1;
         double patience = Math.max(FIRST_TOKEN_TIMEOUT * task.firstTokenObjectiveNanos, FIRST_TOKEN_OUTLIER * usualLag);
         return early && patience < task.lastUsefulAt - now ? now + (long) patience : task.lastUsefulAt;
     }
 
-    private void count(EndpointState node, int change) {
-        node.inFlight += change;
-        total += change;
-        nearTotal += node.zone == settings.zone() ? change : 0;
-    }
-
     private void armHeld() {
         if (!heldTimer && !held.isEmpty()) {
             heldTimer = true;
@@ -692,7 +596,7 @@
         EndpointState node = attempt.endpoint;
         boolean silent = event.outcome() == AttemptOutcome.TIMEOUT || event.outcome() == AttemptOutcome.STALLED;
         task.endAttempt(attempt, event.outcome().mayHaveRun());
-        count(node, -1);
+        endpoints.onAttemptEnded(node);
         if (!attempt.responseStarted) {
             heard(node, !silent && event.outcome() != AttemptOutcome.CANCELLED);
         }
@@ -800,7 +704,7 @@
     private long lostUntil;
 
     private boolean lost(EndpointState node) {
-        return zones > 1 && lostCount >= LOST_ZONE_FAILURES && node.zone == lostZone && now < lostUntil;
+        return endpoints.zoneCount() > 1 && lostCount >= LOST_ZONE_FAILURES && node.zone == lostZone && now < lostUntil;
     }
 
     // ---- Timers ---------------------------------------------------------------------------------------
--- a/node/src/test/java/fawnlb/policy/StateRetentionTest.java
+++ b/node/src/test/java/fawnlb/policy/StateRetentionTest.java
@@ -69,8 +69,8 @@
         // Those that still wait for room are refused when their time is up.
         harness.now += 10 * LoadBalancerHarness.S;
         harness.loadBalancer.onEvent(harness.now, new TimerFired(1));
-        assertEquals(LIVE_ENDPOINTS, sizeOf(harness.loadBalancer, "nodes"));
-        HashRing<?> ring = (HashRing<?>) field(harness.loadBalancer, "ring");
+        assertEquals(LIVE_ENDPOINTS, sizeOf(field(harness.loadBalancer, "endpoints"), "byId"));
+        HashRing<?> ring = (HashRing<?>) field(field(harness.loadBalancer, "endpoints"), "ring");
         assertEquals(LIVE_ENDPOINTS * HashRing.POINTS_PER_ENDPOINT, ring.size());
         assertTrue(sizeOf(ring, "points") <= 2 * LIVE_ENDPOINTS * HashRing.POINTS_PER_ENDPOINT);
         assertTrue("numbers of those that left are used again", sizeOf(ring, "servers") <= LIVE_ENDPOINTS + 2);
