--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -58,6 +58,7 @@
     public BoundedLoadBalancer(LoadBalancerSettings settings, long seed, ActionSink sink) {
         this.settings = settings;
         this.sink = sink;
+        this.zoneAffinity = new ZoneAffinity(settings.costs());
         this.endpoints = new EndpointTable(settings.zone());
         this.sent = settings.tenants().stream().mapToDouble(Tenant::share).toArray();
         this.typicalStream = new double[settings.requestClasses().size()];
@@ -141,7 +142,7 @@
     // ---- Ring and cap ---------------------------------------------------------------------------------
 
     private EndpointState walk(ActiveRequest task) {
-        EndpointState near = keepsNear(task) ? walk(task, true) : null;
+        EndpointState near = zoneAffinity.prefersLocalZone(task.sessionKey, endpoints) ? walk(task, true) : null;
         return near != null ? near : walk(task, false);
     }
 
@@ -195,20 +196,7 @@
 
     private final HotKeySpreader spreader = new HotKeySpreader();
 
-    /**
-     * Near keys: where the site counts a crossing of zones for more than wasted work, a part of the keys stays in the
-     * router's own zone. The part is small enough that a zone which has all of the clients is loaded by no more than
-     * half above the mean. Always on at such sites while there are several zones.
-     */
-    static final double ZONE_EXCESS = 0.5;
-
-    private boolean keepsNear(ActiveRequest task) {
-        return settings.costs().crossZone() > settings.costs().wastedWork()
-                && endpoints.localReadyCount() > 0
-                && endpoints.zoneCount() > 1
-                && SplitMix64.toUnitInterval(~task.sessionKey) < ZONE_EXCESS / (endpoints.zoneCount() - 1);
-    }
-
+    private final ZoneAffinity zoneAffinity;
     private final LoadBound loadBound = new LoadBound();
 
     /**
