--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -199,22 +199,10 @@
     private final ZoneAffinity zoneAffinity;
     private final LoadBound loadBound = new LoadBound();
 
-    /**
-     * Slow replica: a count says nothing of how fast it shrinks, and a replica that has slowed down or fallen silent
-     * would hold as many requests as the others and answer them late. While its first tokens take more than LAG_OUTLIER
-     * times as long as usual, or it has said nothing for that long to those that wait, its cap shrinks in proportion,
-     * to one at least; it ends with the first tokens that come as usual again. So it does while a replica is cold.
-     */
-    static final double LAG_OUTLIER = 2;
-    /** No lag below this part of a request's aim matters, and no difference of streams that are shorter. */
-    static final double MIN_LAG = 0.05;
-
-    private double usualLag;
+    private final LatencyTracker latency = new LatencyTracker();
 
     private long capOf(EndpointState node, long limit, ActiveRequest task) {
-        double lag = Math.max(node.firstTokenLatencyNanos, node.awaitingFirstToken > 0 ? now - node.silentSince : 0);
-        double bearable = LAG_OUTLIER * Math.max(usualLag, MIN_LAG * task.firstTokenObjectiveNanos);
-        double part = lag <= bearable ? 1 : bearable / lag;
+        double part = latency.capacityFraction(node, task.firstTokenObjectiveNanos, now);
         part *= node.inSlowStart ? present(node) : 1;
         part *= drainsNext(node) && endpoints.readyMedian(this::paceOf) < MAX_SLOWDOWN * bestPace
                 ? NEXT_TO_DRAIN_CAP
@@ -239,18 +227,6 @@
         return quickest;
     }
 
-    /** What is usual follows no slow replica: a first token counts LAG_OUTLIER times the usual at most. */
-    private void judgeLag(EndpointState node, double took) {
-        usualLag += usualLag == 0 ? took : (Math.min(took, LAG_OUTLIER * usualLag) - usualLag) / 64;
-        node.firstTokenLatencyNanos += (took - node.firstTokenLatencyNanos) / 8;
-    }
-
-    /** One attempt fewer waits for this replica's first token; a sign of life if the replica ended it. */
-    private void heard(EndpointState node, boolean sign) {
-        node.awaitingFirstToken--;
-        node.silentSince = sign ? now : node.silentSince;
-    }
-
     /**
      * Release: while replicas drain one after another, those that started first are the next, and a stream that has
      * only begun by then is cut when its replica goes. From the second drain within RELEASE_WINDOW on, the cap of the
@@ -367,7 +343,8 @@
     }
 
     private void judgePace(EndpointState node, ActiveRequest task, double took) {
-        double stream = Math.max(MIN_LAG * task.firstTokenObjectiveNanos, took) / task.maxStreamTokens;
+        double stream = Math.max(LatencyTracker.NEGLIGIBLE_OBJECTIVE_FRACTION * task.firstTokenObjectiveNanos, took)
+                / task.maxStreamTokens;
         int type = task.arrival.classIndex();
         if (type < 0 || type >= typicalStream.length) {
             return;
@@ -402,7 +379,7 @@
         node.startedAt = readyAt;
         node.consecutiveFailures = 0;
         node.ejectedUntil = 0;
-        node.firstTokenLatencyNanos = 0;
+        latency.onRestart(node);
         node.lateFraction = 0;
         boolean isCold =
                 readyAt > 0 && now - readyAt < settings.endpointLifecycle().slowStartWindowNanos();
@@ -505,7 +482,7 @@
     private void send(ActiveRequest task, EndpointState node) {
         task.addAttempt(node, now);
         endpoints.onAttemptStarted(node);
-        node.silentSince = node.awaitingFirstToken++ == 0 ? now : node.silentSince;
+        latency.onAttemptStarted(node, now);
         if (node.inSlowStart) {
             node.slowStartNextAttemptAt = now + (long) coldGap(node, task.work);
         }
@@ -527,7 +504,8 @@
                 && task.attemptCount() == 1
                 && retryCredit >= 1
                 && endpoints.readyCount() > 1;
-        double patience = Math.max(FIRST_TOKEN_TIMEOUT * task.firstTokenObjectiveNanos, FIRST_TOKEN_OUTLIER * usualLag);
+        double patience = Math.max(
+                FIRST_TOKEN_TIMEOUT * task.firstTokenObjectiveNanos, FIRST_TOKEN_OUTLIER * latency.usualNanos());
         return early && patience < task.lastUsefulAt - now ? now + (long) patience : task.lastUsefulAt;
     }
 
@@ -565,8 +543,8 @@
         Attempt attempt = task.attempt(event.attempt());
         attempt.responseStarted = true;
         attempt.firstTokenNanos = event.elapsedNanos();
-        heard(attempt.endpoint, true);
-        judgeLag(attempt.endpoint, event.elapsedNanos());
+        latency.onSignOfLife(attempt.endpoint, now);
+        latency.record(attempt.endpoint, event.elapsedNanos());
         answered(attempt.endpoint, false);
         judgeLoad(attempt.endpoint, event.elapsedNanos() > task.firstTokenObjectiveNanos * 0.8);
         close(task);
@@ -586,10 +564,14 @@
         task.endAttempt(attempt, event.outcome().mayHaveRun());
         endpoints.onAttemptEnded(node);
         if (!attempt.responseStarted) {
-            heard(node, !silent && event.outcome() != AttemptOutcome.CANCELLED);
+            if (silent || event.outcome() == AttemptOutcome.CANCELLED) {
+                latency.onGivenUp(node);
+            } else {
+                latency.onSignOfLife(node, now);
+            }
         }
         if (silent && !attempt.responseStarted) {
-            judgeLag(node, event.elapsedNanos());
+            latency.record(node, event.elapsedNanos());
         }
         judge(node, event.outcome(), attempt.responseStarted);
         if (event.outcome() == AttemptOutcome.SERVED && attempt.responseStarted) {
