--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -27,10 +27,8 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 
 /**
@@ -61,8 +59,7 @@
         this.zoneAffinity = new ZoneAffinity(settings.costs());
         this.endpoints = new EndpointTable(settings.zone());
         this.sent = settings.tenants().stream().mapToDouble(Tenant::share).toArray();
-        this.typicalStream = new double[settings.requestClasses().size()];
-        this.streamsSeen = new int[settings.requestClasses().size()];
+        this.pace = new StreamPaceTracker(endpoints, settings.requestClasses().size());
         this.random = new SplittableRandom(SplitMix64.mix(seed));
         this.subscription = new SubscriptionSchedule(
                 settings.instances(), settings.endpointLifecycle().pollDeadlineNanos(), random::nextDouble);
@@ -117,7 +114,7 @@
         if (replica.phase() == EndpointPhase.DRAINING && node.phase == EndpointPhase.READY) {
             drains();
         }
-        node.kindPace = kindPaces.computeIfAbsent(replica.kind(), kind -> new KindPace());
+        pace.onListed(node, replica.kind());
     }
 
     /** The last timer that was set counts: if all did, each call that fails would leave two behind. */
@@ -134,8 +131,7 @@
 
     private void recount() {
         endpoints.recount();
-        readyKinds.clear();
-        endpoints.ready().forEach(node -> readyKinds.add(node.kindPace));
+        pace.onReadyChanged(endpoints.ready());
         findNextToDrain();
     }
 
@@ -159,7 +155,7 @@
         int at = endpoints.ring().firstIndexFor(key);
         EndpointState fallback = null;
         long limit = loadBound.limit(near ? endpoints.localInFlight() : endpoints.inFlight(), replicas);
-        double quickest = quickestPace();
+        double quickest = pace.fastestKind();
         long mark = endpoints.nextPass();
         int left = near ? endpoints.localReadyCount() : endpoints.readyCount();
         for (int i = at, seen = 0; seen < endpoints.ring().size() && left > 0; seen++) {
@@ -177,7 +173,7 @@
             if (rests || lost(node) || node.awaitingFirstToken >= node.capacity) {
                 continue;
             }
-            if (node.inFlight < capOf(node, limit, task) && keeps(key, node, quickest)) {
+            if (node.inFlight < capOf(node, limit, task) && pace.keepsKey(node, key, quickest)) {
                 if (task.attemptCount() == 0) {
                     if (fallback != null) {
                         loadBound.recordSpilled();
@@ -204,29 +200,10 @@
     private long capOf(EndpointState node, long limit, ActiveRequest task) {
         double part = latency.capacityFraction(node, task.firstTokenObjectiveNanos, now);
         part *= node.inSlowStart ? present(node) : 1;
-        part *= drainsNext(node) && endpoints.readyMedian(this::paceOf) < MAX_SLOWDOWN * bestPace
-                ? NEXT_TO_DRAIN_CAP
-                : 1;
+        part *= drainsNext(node) && pace.median() < MAX_SLOWDOWN * pace.bestMedian() ? NEXT_TO_DRAIN_CAP : 1;
         return Math.max(1, (long) (limit * part));
     }
 
-    /**
-     * A replica slower than the quickest kind keeps so many of its keys, the same ones at every router. Held against
-     * the middle one, a slower kind that has most of the replicas would keep them all.
-     */
-    private boolean keeps(long key, EndpointState node, double quickest) {
-        return SplitMix64.toUnitInterval(key ^ SplitMix64.mix(node.id)) < quickest / paceOf(node);
-    }
-
-    /** The pace of the quickest kind of ready replicas that was met often enough; NEVER if none was. */
-    private double quickestPace() {
-        double quickest = NEVER;
-        for (KindPace kind : readyKinds) {
-            quickest = kind.streams >= KIND_PRIOR_STREAMS ? Math.min(quickest, kind.pace) : quickest;
-        }
-        return quickest;
-    }
-
     /**
      * Release: while replicas drain one after another, those that started first are the next, and a stream that has
      * only begun by then is cut when its replica goes. From the second drain within RELEASE_WINDOW on, the cap of the
@@ -275,7 +252,7 @@
     }
 
     private boolean sheds(ActiveRequest task) {
-        double slow = 1 - SLOW_STREAMS * bestPace / endpoints.readyMedian(this::paceOf);
+        double slow = 1 - SLOW_STREAMS * pace.bestMedian() / pace.median();
         double part = Math.max(endpoints.readyMedian(n -> n.lateFraction) - OVERLOAD_THRESHOLD, slow);
         part *= claim(task.arrival.tenantIndex());
         return part > 0 && SplitMix64.toUnitInterval(task.sessionKey ^ 0x5ca1ab1eL) < Math.min(MAX_SHED, part);
@@ -312,55 +289,7 @@
      */
     static final double SLOW_STREAMS = 2.2;
 
-    private static final int STREAM_SAMPLES = 64;
-    private static final double MAX_STREAM_RATIO = 16;
-    private final double[] typicalStream;
-    private final int[] streamsSeen;
-    private double bestPace = 1;
-
-    /**
-     * A router meets one of many replicas a few times in ten seconds: what it has seen of others of that kind counts as
-     * KIND_PRIOR_STREAMS streams of its own.
-     */
-    static final int KIND_PRIOR_STREAMS = 8;
-
-    private final Map<Integer, KindPace> kindPaces = new HashMap<>();
-    /** Kinds that have a ready replica. */
-    private final Set<KindPace> readyKinds = new LinkedHashSet<>();
-
-    /** How fast replicas of one kind stream, and in how many streams that was seen. */
-    static final class KindPace {
-        double pace;
-        double streams;
-    }
-
-    private double paceOf(EndpointState node) {
-        int own = Math.min(node.streamSamples, 16);
-        double all = own + KIND_PRIOR_STREAMS;
-        return node.kindPace.streams == 0
-                ? node.streamSlowdown
-                : (own * node.streamSlowdown + KIND_PRIOR_STREAMS * node.kindPace.pace) / all;
-    }
-
-    private void judgePace(EndpointState node, ActiveRequest task, double took) {
-        double stream = Math.max(LatencyTracker.NEGLIGIBLE_OBJECTIVE_FRACTION * task.firstTokenObjectiveNanos, took)
-                / task.maxStreamTokens;
-        int type = task.arrival.classIndex();
-        if (type < 0 || type >= typicalStream.length) {
-            return;
-        }
-        int seen = ++streamsSeen[type];
-        if (seen <= STREAM_SAMPLES) {
-            typicalStream[type] += (stream - typicalStream[type]) / seen;
-        }
-        double ratio = Math.min(MAX_STREAM_RATIO, stream / typicalStream[type]);
-        node.streamSlowdown += (ratio - node.streamSlowdown) / Math.min(++node.streamSamples, 16);
-        KindPace kind = node.kindPace;
-        kind.pace += (ratio - kind.pace) / Math.min(++kind.streams, 64);
-        if (seen > 2 * STREAM_SAMPLES) {
-            bestPace = Math.min(bestPace, endpoints.readyMedian(this::paceOf));
-        }
-    }
+    private final StreamPaceTracker pace;
 
     /**
      * Cold replica: the budget of a warming replica is for all routers together. From its start until `cold` later this
@@ -575,7 +504,7 @@
         }
         judge(node, event.outcome(), attempt.responseStarted);
         if (event.outcome() == AttemptOutcome.SERVED && attempt.responseStarted) {
-            judgePace(node, task, event.elapsedNanos() - attempt.firstTokenNanos);
+            pace.record(node, task, event.elapsedNanos() - attempt.firstTokenNanos);
         }
         if (silent && !attempt.responseStarted || event.outcome() == AttemptOutcome.FULL) {
             judgeLoad(node, true);
--- a/node/src/main/java/fawnlb/policy/EndpointState.java
+++ b/node/src/main/java/fawnlb/policy/EndpointState.java
@@ -48,7 +48,7 @@
     double streamSlowdown = 1;
     int streamSamples;
     /** What is known of all endpoints of this kind; set before the endpoint becomes ready. */
-    BoundedLoadBalancer.KindPace kindPace;
+    StreamPaceTracker.KindPace kindPace;
 
     EndpointState(long id) {
         this.id = id;
