--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -112,7 +112,7 @@
             restarted(node, replica.startedAt());
         }
         if (replica.phase() == EndpointPhase.DRAINING && node.phase == EndpointPhase.READY) {
-            drains();
+            rollout.onDrain(now);
         }
         pace.onListed(node, replica.kind());
     }
@@ -132,7 +132,7 @@
     private void recount() {
         endpoints.recount();
         pace.onReadyChanged(endpoints.ready());
-        findNextToDrain();
+        rollout.onReadyChanged(endpoints.ready());
     }
 
     // ---- Ring and cap ---------------------------------------------------------------------------------
@@ -200,42 +200,18 @@
     private long capOf(EndpointState node, long limit, ActiveRequest task) {
         double part = latency.capacityFraction(node, task.firstTokenObjectiveNanos, now);
         part *= node.inSlowStart ? present(node) : 1;
-        part *= drainsNext(node) && pace.median() < MAX_SLOWDOWN * pace.bestMedian() ? NEXT_TO_DRAIN_CAP : 1;
+        part *= rollout.isNext(node, now) && pace.median() < MAX_ROLLOUT_SLOWDOWN * pace.bestMedian()
+                ? NEXT_IN_ROLLOUT_FRACTION
+                : 1;
         return Math.max(1, (long) (limit * part));
     }
 
-    /**
-     * Release: while replicas drain one after another, those that started first are the next, and a stream that has
-     * only begun by then is cut when its replica goes. From the second drain within RELEASE_WINDOW on, the cap of the
-     * NEXT_TO_DRAIN oldest is this part of the others'; it ends so long after the last drain, and while streams take
-     * MAX_SLOWDOWN times as long as at best: then every replica is needed.
-     */
-    static final long RELEASE_WINDOW = 10 * SECOND;
-
-    static final int NEXT_TO_DRAIN = 3;
-    static final double NEXT_TO_DRAIN_CAP = 0.3;
-    static final double MAX_SLOWDOWN = 1.6;
-    private long lastDrain = Long.MIN_VALUE / 2;
-    private long releaseUntil = Long.MIN_VALUE;
-    private long drainsNextBefore;
-
-    private void drains() {
-        releaseUntil = now - lastDrain < RELEASE_WINDOW ? now + RELEASE_WINDOW : releaseUntil;
-        lastDrain = now;
-    }
-
-    /** Where many started together, none of them is known to be the next. */
-    private void findNextToDrain() {
-        long[] starts = endpoints.ready().stream()
-                .mapToLong(node -> node.startedAt)
-                .sorted()
-                .toArray();
-        drainsNextBefore = starts.length >= 2 * NEXT_TO_DRAIN ? starts[NEXT_TO_DRAIN] : 0;
-    }
+    /** Endpoints that a rollout replaces next receive this fraction, so that few of their streams are cut. */
+    static final double NEXT_IN_ROLLOUT_FRACTION = 0.3;
+    /** While streams take this many times as long as at best, every endpoint is needed. */
+    static final double MAX_ROLLOUT_SLOWDOWN = 1.6;
 
-    private boolean drainsNext(EndpointState node) {
-        return now < releaseUntil && node.startedAt < drainsNextBefore;
-    }
+    private final RolloutPredictor rollout = new RolloutPredictor();
 
     /**
      * Overload: while first tokens come late, or attempts end full or timed out, more often than OVERLOAD_THRESHOLD at
