--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -21,13 +21,10 @@
 import fawnlb.decision.LoadBalancerEvent.TimerFired;
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
-import fawnlb.decision.LoadBalancerSettings.EndpointLifecycle;
 import fawnlb.decision.LoadBalancerSettings.Tenant;
 import fawnlb.membership.SubscriptionSchedule;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 
@@ -44,13 +41,11 @@
     // ---- Settings -------------------------------------------------------------------------------------
 
     private static final long SECOND = 1_000_000_000L;
-    private static final double NEVER = 1e15;
     private static final int LIST_TIMER = 0;
     private static final int HELD_TIMER = 1;
 
     private final LoadBalancerSettings settings;
     private final ActionSink sink;
-    private final SplittableRandom random;
     private long now;
 
     public BoundedLoadBalancer(LoadBalancerSettings settings, long seed, ActionSink sink) {
@@ -60,7 +55,8 @@
         this.endpoints = new EndpointTable(settings.zone());
         this.sent = settings.tenants().stream().mapToDouble(Tenant::share).toArray();
         this.pace = new StreamPaceTracker(endpoints, settings.requestClasses().size());
-        this.random = new SplittableRandom(SplitMix64.mix(seed));
+        SplittableRandom random = new SplittableRandom(SplitMix64.mix(seed));
+        this.slowStart = new SlowStart(settings.endpointLifecycle(), random::nextDouble);
         this.subscription = new SubscriptionSchedule(
                 settings.instances(), settings.endpointLifecycle().pollDeadlineNanos(), random::nextDouble);
         this.retryBurst = this.retryCredit = Math.max(1, RETRY_BURST / Math.max(1, settings.instances()));
@@ -101,8 +97,8 @@
         }
         endpoints.update(news, this::beforeUpdate);
         recount();
-        if (meanCost == 0 && endpoints.areAllInSlowStart()) {
-            coldNodes.forEach(node -> node.slowStartNextAttemptAt = now);
+        if (endpoints.areAllInSlowStart()) {
+            slowStart.startWithoutDelayIfIdle(now);
         }
         serveHeld();
     }
@@ -169,7 +165,7 @@
             if (!IdempotencyRules.permits(task, node, now) || task.wasTriedOn(node)) {
                 continue;
             }
-            boolean rests = node.ejectedUntil > now || node.inSlowStart && now < node.slowStartNextAttemptAt;
+            boolean rests = node.ejectedUntil > now || slowStart.isResting(node, now);
             if (rests || lost(node) || node.awaitingFirstToken >= node.capacity) {
                 continue;
             }
@@ -199,7 +195,7 @@
 
     private long capOf(EndpointState node, long limit, ActiveRequest task) {
         double part = latency.capacityFraction(node, task.firstTokenObjectiveNanos, now);
-        part *= node.inSlowStart ? present(node) : 1;
+        part *= slowStart.capacityFraction(node, now);
         part *= rollout.isNext(node, now) && pace.median() < MAX_ROLLOUT_SLOWDOWN * pace.bestMedian()
                 ? NEXT_IN_ROLLOUT_FRACTION
                 : 1;
@@ -267,78 +263,20 @@
 
     private final StreamPaceTracker pace;
 
-    /**
-     * Cold replica: the budget of a warming replica is for all routers together. From its start until `cold` later this
-     * router sends it no more than the replica's present part of a warm replica's mean work, all prompts counted as
-     * unread, and begins at a moment of its own so that many quiet routers don't each send one at once: at any until it
-     * is warm where no load tells its part, unless all are cold.
-     */
-    private final List<EndpointState> coldNodes = new ArrayList<>();
-
-    private long nextWarm = Long.MAX_VALUE;
-    private double workRate;
-    private long workRateAt;
-    private double meanCost;
+    private final SlowStart slowStart;
 
     private void restarted(EndpointState node, long readyAt) {
-        node.startedAt = readyAt;
         node.consecutiveFailures = 0;
         node.ejectedUntil = 0;
         latency.onRestart(node);
         node.lateFraction = 0;
-        boolean isCold =
-                readyAt > 0 && now - readyAt < settings.endpointLifecycle().slowStartWindowNanos();
-        if (isCold && !node.inSlowStart) {
-            coldNodes.add(node);
-        }
-        node.inSlowStart = isCold || node.inSlowStart;
-        if (isCold) {
-            nextWarm = Math.min(nextWarm, readyAt + settings.endpointLifecycle().slowStartWindowNanos());
-            double first = meanCost > 0
-                    ? coldGap(node, meanCost)
-                    : settings.endpointLifecycle().slowStartWindowNanos();
-            node.slowStartNextAttemptAt = now + (long) (random.nextDouble() * first);
-        }
-    }
-
-    /** How long a cold replica must rest after work of this cost, given this router's part of its budget. */
-    private double coldGap(EndpointState node, double cost) {
-        EndpointLifecycle rules = settings.endpointLifecycle();
-        double budget = present(node) * (1 + rules.slowStartOverloadMultiple()) / 2;
-        double rate = budget * decayedRate() / Math.max(1, endpoints.warmCount());
-        return Math.min(NEVER, cost / Math.max(rate, 1e-12));
-    }
-
-    /** The part of its capacity that a warming replica has by now. */
-    private double present(EndpointState node) {
-        EndpointLifecycle rules = settings.endpointLifecycle();
-        double age = Math.max(0, now - node.startedAt) / (double) rules.slowStartWindowNanos();
-        return Math.min(1, rules.slowStartInitialCapacity() + (1 - rules.slowStartInitialCapacity()) * age);
-    }
-
-    /** This router's own work sent a nanosecond, over about ten seconds. */
-    private double decayedRate() {
-        return workRate * Math.exp((workRateAt - now) / (10.0 * SECOND));
-    }
-
-    private void countWork(double cost) {
-        workRate = decayedRate() + cost / (10.0 * SECOND);
-        workRateAt = now;
-        meanCost += (cost - meanCost) / 16;
+        slowStart.onRestart(node, readyAt, now, endpoints.warmCount());
     }
 
     private void warmUp() {
-        if (now < nextWarm) {
-            return;
+        if (slowStart.endElapsed(now)) {
+            recount();
         }
-        nextWarm = Long.MAX_VALUE;
-        coldNodes.removeIf(node -> {
-            long warmAt = node.startedAt + settings.endpointLifecycle().slowStartWindowNanos();
-            node.inSlowStart = now < warmAt;
-            nextWarm = node.inSlowStart ? Math.min(nextWarm, warmAt) : nextWarm;
-            return !node.inSlowStart;
-        });
-        recount();
     }
 
     // ---- Request life ---------------------------------------------------------------------------------
@@ -388,10 +326,7 @@
         task.addAttempt(node, now);
         endpoints.onAttemptStarted(node);
         latency.onAttemptStarted(node, now);
-        if (node.inSlowStart) {
-            node.slowStartNextAttemptAt = now + (long) coldGap(node, task.work);
-        }
-        countWork(task.work);
+        slowStart.onAttemptStarted(node, task.work, now, endpoints.warmCount());
         sink.perform(new StartAttempt(task.id(), node.id, stopAt(task)));
     }
 
--- a/node/src/test/java/fawnlb/policy/StateRetentionTest.java
+++ b/node/src/test/java/fawnlb/policy/StateRetentionTest.java
@@ -80,6 +80,7 @@
         assertTrue(recent.size() <= HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
         assertTrue(sizeOf(recent, "sums") <= HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
         assertTrue(sizeOf(recent, "keys") <= 2 * HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
-        assertTrue("cold ones of 9 s", sizeOf(harness.loadBalancer, "coldNodes") <= 9000 / 60 + 2);
+        assertTrue(
+                "slow starts of 9 s", sizeOf(field(harness.loadBalancer, "slowStart"), "endpoints") <= 9000 / 60 + 2);
     }
 }
