--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -40,7 +40,6 @@
 
     // ---- Settings -------------------------------------------------------------------------------------
 
-    private static final long SECOND = 1_000_000_000L;
     private static final int LIST_TIMER = 0;
     private static final int HELD_TIMER = 1;
 
@@ -165,8 +164,10 @@
             if (!IdempotencyRules.permits(task, node, now) || task.wasTriedOn(node)) {
                 continue;
             }
-            boolean rests = node.ejectedUntil > now || slowStart.isResting(node, now);
-            if (rests || lost(node) || node.awaitingFirstToken >= node.capacity) {
+            boolean rests = slowStart.isResting(node, now);
+            if (rests
+                    || outliers.isEjected(node, endpoints.zoneCount(), now)
+                    || node.awaitingFirstToken >= node.capacity) {
                 continue;
             }
             if (node.inFlight < capOf(node, limit, task) && pace.keepsKey(node, key, quickest)) {
@@ -266,8 +267,7 @@
     private final SlowStart slowStart;
 
     private void restarted(EndpointState node, long readyAt) {
-        node.consecutiveFailures = 0;
-        node.ejectedUntil = 0;
+        outliers.onRestart(node);
         latency.onRestart(node);
         node.lateFraction = 0;
         slowStart.onRestart(node, readyAt, now, endpoints.warmCount());
@@ -385,7 +385,7 @@
         attempt.firstTokenNanos = event.elapsedNanos();
         latency.onSignOfLife(attempt.endpoint, now);
         latency.record(attempt.endpoint, event.elapsedNanos());
-        answered(attempt.endpoint, false);
+        outliers.onResponseStarted(attempt.endpoint);
         judgeLoad(attempt.endpoint, event.elapsedNanos() > task.firstTokenObjectiveNanos * 0.8);
         close(task);
     }
@@ -413,7 +413,7 @@
         if (silent && !attempt.responseStarted) {
             latency.record(node, event.elapsedNanos());
         }
-        judge(node, event.outcome(), attempt.responseStarted);
+        outliers.onAttemptEnded(node, event.outcome(), attempt.responseStarted, now);
         if (event.outcome() == AttemptOutcome.SERVED && attempt.responseStarted) {
             pace.record(node, task, event.elapsedNanos() - attempt.firstTokenNanos);
         }
@@ -468,54 +468,7 @@
         }
     }
 
-    // ---- Health ---------------------------------------------------------------------------------------
-
-    private void answered(EndpointState node, boolean whole) {
-        lostCount = node.zone == lostZone ? 0 : lostCount;
-        node.stallFailures = whole ? 0 : node.stallFailures;
-        node.consecutiveFailures = node.stallFailures;
-        node.ejectedUntil = node.stallFailures > 0 ? node.ejectedUntil : 0;
-    }
-
-    /**
-     * Failing replica: quick errors would empty its count and draw ever more keys. One that fails to connect, or twice
-     * in a row otherwise, is walked past for a second, doubled with each further failure up to sixteen; the first
-     * answer ends it. After a stall in mid-answer it is at once, until an answer is whole.
-     */
-    private void judge(EndpointState node, AttemptOutcome outcome, boolean streaming) {
-        if (outcome == AttemptOutcome.SERVED) {
-            answered(node, true);
-        } else if (outcome == AttemptOutcome.ERROR
-                || outcome == AttemptOutcome.RESET
-                || outcome == AttemptOutcome.CONNECT_FAILED
-                || outcome == AttemptOutcome.STALLED && streaming) {
-            node.stallFailures += outcome == AttemptOutcome.STALLED ? 2 : 0;
-            node.consecutiveFailures = Math.max(node.consecutiveFailures + 1, node.stallFailures);
-            boolean counts = node.consecutiveFailures == 1 || lostCount >= LOST_ZONE_FAILURES;
-            if (outcome == AttemptOutcome.CONNECT_FAILED && counts) {
-                lostCount = node.zone == lostZone ? lostCount + 1 : 1;
-                lostZone = node.zone;
-                lostUntil = now + SECOND;
-            }
-            if (node.consecutiveFailures > 1 || outcome == AttemptOutcome.CONNECT_FAILED) {
-                node.ejectedUntil = now + (SECOND << Math.min(node.consecutiveFailures - 1, 4));
-            }
-        }
-    }
-
-    /**
-     * Lost zone: its replicas would each have to fail to connect once, at every router. When LOST_ZONE_FAILURES of them
-     * have and none has answered since, all are walked past but for a try a second; an answer ends it.
-     */
-    static final int LOST_ZONE_FAILURES = 3;
-
-    private int lostZone = -1;
-    private int lostCount;
-    private long lostUntil;
-
-    private boolean lost(EndpointState node) {
-        return endpoints.zoneCount() > 1 && lostCount >= LOST_ZONE_FAILURES && node.zone == lostZone && now < lostUntil;
-    }
+    private final OutlierDetector outliers = new OutlierDetector();
 
     // ---- Timers ---------------------------------------------------------------------------------------
 
