--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -21,7 +21,6 @@
 import fawnlb.decision.LoadBalancerEvent.TimerFired;
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
-import fawnlb.decision.LoadBalancerSettings.Tenant;
 import fawnlb.membership.SubscriptionSchedule;
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -52,7 +51,7 @@
         this.sink = sink;
         this.zoneAffinity = new ZoneAffinity(settings.costs());
         this.endpoints = new EndpointTable(settings.zone());
-        this.sent = settings.tenants().stream().mapToDouble(Tenant::share).toArray();
+        this.quotas = new TenantQuotas(settings.tenants());
         this.pace = new StreamPaceTracker(endpoints, settings.requestClasses().size());
         SplittableRandom random = new SplittableRandom(SplitMix64.mix(seed));
         this.slowStart = new SlowStart(settings.endpointLifecycle(), random::nextDouble);
@@ -227,32 +226,11 @@
     private boolean sheds(ActiveRequest task) {
         double slow = 1 - SLOW_STREAMS * pace.bestMedian() / pace.median();
         double part = Math.max(endpoints.readyMedian(n -> n.lateFraction) - OVERLOAD_THRESHOLD, slow);
-        part *= claim(task.arrival.tenantIndex());
+        part *= quotas.shedFactor(task.arrival.tenantIndex());
         return part > 0 && SplitMix64.toUnitInterval(task.sessionKey ^ 0x5ca1ab1eL) < Math.min(MAX_SHED, part);
     }
 
-    /**
-     * Fairness: when sessions are refused, a tenant that sends more than its share of this router's requests bears more
-     * of it, and one that sends less bears less, by the square of the ratio. It acts only while there is refusing to
-     * do, and only where tenants have shares.
-     */
-    private final double[] sent;
-
-    private void countTenant(int tenant) {
-        for (int i = 0; i < sent.length; i++) {
-            sent[i] += ((i == tenant ? 1 : 0) - sent[i]) / 256;
-        }
-    }
-
-    private double claim(int tenant) {
-        if (tenant < 0
-                || tenant >= sent.length
-                || settings.tenants().get(tenant).share() <= 0) {
-            return 1;
-        }
-        double ratio = sent[tenant] / settings.tenants().get(tenant).share();
-        return ratio * ratio;
-    }
+    private final TenantQuotas quotas;
 
     /**
      * Slow streams: with too many answers running, or kept prompts lost, tokens fall below their pace while first
@@ -301,7 +279,7 @@
         tasks.put(request.requestId(), task);
         retryCredit = Math.min(retryBurst, retryCredit + RETRY_PART);
         spreader.record(task, endpoints.readyCount());
-        countTenant(request.tenantIndex());
+        quotas.recordRequest(request.tenantIndex());
         if (sheds(task)) {
             giveUp(task);
         } else {
