--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -51,8 +51,8 @@
         this.sink = sink;
         this.zoneAffinity = new ZoneAffinity(settings.costs());
         this.endpoints = new EndpointTable(settings.zone());
-        this.quotas = new TenantQuotas(settings.tenants());
         this.pace = new StreamPaceTracker(endpoints, settings.requestClasses().size());
+        this.admission = new AdmissionController(endpoints, pace, new TenantQuotas(settings.tenants()));
         SplittableRandom random = new SplittableRandom(SplitMix64.mix(seed));
         this.slowStart = new SlowStart(settings.endpointLifecycle(), random::nextDouble);
         this.subscription = new SubscriptionSchedule(
@@ -209,37 +209,7 @@
 
     private final RolloutPredictor rollout = new RolloutPredictor();
 
-    /**
-     * Overload: while first tokens come late, or attempts end full or timed out, more often than OVERLOAD_THRESHOLD at
-     * half of the replicas, that part of the sessions is refused on arrival, in the order of their hash: the same ones
-     * at every router, so that the others keep their prompts. A few replicas that are slow or out of reach are no
-     * overload: the others can serve what they can't.
-     */
-    static final double OVERLOAD_THRESHOLD = 0.1;
-    /** Some sessions always pass: with none, no answer could show that the trouble is over. */
-    static final double MAX_SHED = 0.9;
-
-    private static void judgeLoad(EndpointState node, boolean late) {
-        node.lateFraction += ((late ? 1 : 0) - node.lateFraction) / 16;
-    }
-
-    private boolean sheds(ActiveRequest task) {
-        double slow = 1 - SLOW_STREAMS * pace.bestMedian() / pace.median();
-        double part = Math.max(endpoints.readyMedian(n -> n.lateFraction) - OVERLOAD_THRESHOLD, slow);
-        part *= quotas.shedFactor(task.arrival.tenantIndex());
-        return part > 0 && SplitMix64.toUnitInterval(task.sessionKey ^ 0x5ca1ab1eL) < Math.min(MAX_SHED, part);
-    }
-
-    private final TenantQuotas quotas;
-
-    /**
-     * Slow streams: with too many answers running, or kept prompts lost, tokens fall below their pace while first
-     * tokens are still in time, and the state feeds itself. The length of an answer is not told, so streams by the
-     * tokens that they may have are held against the middle replica's own best stretch; above SLOW_STREAMS times that,
-     * so many sessions are refused as bring the streams back to it.
-     */
-    static final double SLOW_STREAMS = 2.2;
-
+    private final AdmissionController admission;
     private final StreamPaceTracker pace;
 
     private final SlowStart slowStart;
@@ -247,7 +217,7 @@
     private void restarted(EndpointState node, long readyAt) {
         outliers.onRestart(node);
         latency.onRestart(node);
-        node.lateFraction = 0;
+        admission.onRestart(node);
         slowStart.onRestart(node, readyAt, now, endpoints.warmCount());
     }
 
@@ -279,8 +249,7 @@
         tasks.put(request.requestId(), task);
         retryCredit = Math.min(retryBurst, retryCredit + RETRY_PART);
         spreader.record(task, endpoints.readyCount());
-        quotas.recordRequest(request.tenantIndex());
-        if (sheds(task)) {
+        if (admission.shouldShed(task)) {
             giveUp(task);
         } else {
             place(task);
@@ -364,7 +333,7 @@
         latency.onSignOfLife(attempt.endpoint, now);
         latency.record(attempt.endpoint, event.elapsedNanos());
         outliers.onResponseStarted(attempt.endpoint);
-        judgeLoad(attempt.endpoint, event.elapsedNanos() > task.firstTokenObjectiveNanos * 0.8);
+        admission.recordFirstToken(attempt.endpoint, task, event.elapsedNanos());
         close(task);
     }
 
@@ -396,7 +365,7 @@
             pace.record(node, task, event.elapsedNanos() - attempt.firstTokenNanos);
         }
         if (silent && !attempt.responseStarted || event.outcome() == AttemptOutcome.FULL) {
-            judgeLoad(node, true);
+            admission.recordOverload(node);
         }
         if (event.requestFinished() || event.outcome() == AttemptOutcome.SERVED) {
             close(task);
