--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -4,7 +4,6 @@
 import fawnlb.decision.Endpoint;
 import fawnlb.decision.EndpointPhase;
 import fawnlb.decision.EndpointUpdateKind;
-import fawnlb.decision.Idempotency;
 import fawnlb.decision.LoadBalancer;
 import fawnlb.decision.LoadBalancerAction.CancelAttempt;
 import fawnlb.decision.LoadBalancerAction.FailRequest;
@@ -57,7 +56,9 @@
         this.slowStart = new SlowStart(settings.endpointLifecycle(), random::nextDouble);
         this.subscription = new SubscriptionSchedule(
                 settings.instances(), settings.endpointLifecycle().pollDeadlineNanos(), random::nextDouble);
-        this.retryBurst = this.retryCredit = Math.max(1, RETRY_BURST / Math.max(1, settings.instances()));
+        this.retryBudget = new RetryBudget(settings.instances());
+        this.retryPolicy = new RetryPolicy(settings.limits().maxAttempts(), retryBudget);
+        this.timeouts = new AttemptTimeouts(retryBudget, latency);
     }
 
     @Override
@@ -232,22 +233,15 @@
     private final Map<Long, ActiveRequest> tasks = new HashMap<>();
     private final ArrayDeque<ActiveRequest> held = new ArrayDeque<>();
     private boolean heldTimer;
-    private final double retryBurst;
-    private double retryCredit;
-
-    /**
-     * Retry budget: one further attempt for every five requests, and so many at once by all routers, one by each at
-     * least. It always holds, but for attempts that never met a replica and cost none any work.
-     */
-    static final double RETRY_PART = 0.2;
-
-    static final double RETRY_BURST = 10;
+    private final RetryBudget retryBudget;
+    private final RetryPolicy retryPolicy;
+    private final AttemptTimeouts timeouts;
 
     private void arrived(RequestArrived request) {
         warmUp();
         ActiveRequest task = new ActiveRequest(request, settings.requestClass(request.classIndex()), now);
         tasks.put(request.requestId(), task);
-        retryCredit = Math.min(retryBurst, retryCredit + RETRY_PART);
+        retryBudget.onRequest();
         spreader.record(task, endpoints.readyCount());
         if (admission.shouldShed(task)) {
             giveUp(task);
@@ -274,26 +268,7 @@
         endpoints.onAttemptStarted(node);
         latency.onAttemptStarted(node, now);
         slowStart.onAttemptStarted(node, task.work, now, endpoints.warmCount());
-        sink.perform(new StartAttempt(task.id(), node.id, stopAt(task)));
-    }
-
-    /**
-     * Silent replica: one that vanished or was cut off answers nothing, and waiting for it to the end would cost the
-     * request. A first attempt that may be repeated is stopped while there is time to be in time elsewhere; not where
-     * first tokens take about so long now, nor without credit for a retry.
-     */
-    static final double FIRST_TOKEN_TIMEOUT = 0.5;
-
-    static final double FIRST_TOKEN_OUTLIER = 6;
-
-    private long stopAt(ActiveRequest task) {
-        boolean early = task.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                && task.attemptCount() == 1
-                && retryCredit >= 1
-                && endpoints.readyCount() > 1;
-        double patience = Math.max(
-                FIRST_TOKEN_TIMEOUT * task.firstTokenObjectiveNanos, FIRST_TOKEN_OUTLIER * latency.usualNanos());
-        return early && patience < task.lastUsefulAt - now ? now + (long) patience : task.lastUsefulAt;
+        sink.perform(new StartAttempt(task.id(), node.id, timeouts.deadline(task, now, endpoints.readyCount())));
     }
 
     private void armHeld() {
@@ -379,11 +354,7 @@
 
     /** All attempts so far have failed: one more within the rules and the budget, else the final answer. */
     private void again(ActiveRequest task, AttemptOutcome outcome) {
-        boolean free = outcome == AttemptOutcome.CONNECT_FAILED;
-        boolean budget = (free || retryCredit >= 1)
-                && task.attemptCount() < settings.limits().maxAttempts();
-        if (budget && outcome != AttemptOutcome.CANCELLED && now < task.lastUsefulAt) {
-            retryCredit -= free ? 0 : 1;
+        if (retryPolicy.tryRetry(task, outcome, now)) {
             place(task);
         } else {
             giveUp(task);
--- a/node/src/test/java/fawnlb/policy/FleetTest.java
+++ b/node/src/test/java/fawnlb/policy/FleetTest.java
@@ -265,8 +265,8 @@
                 }
                 sent += harness.startedAttempts().size();
             }
-            double most = instances * each * (1 + BoundedLoadBalancer.RETRY_PART)
-                    + Math.max(instances, BoundedLoadBalancer.RETRY_BURST);
+            double most =
+                    instances * each * (1 + RetryBudget.RETRIES_PER_REQUEST) + Math.max(instances, RetryBudget.BURST);
             assertTrue(instances + " routers: " + sent + " of " + most, sent <= most);
         }
     }
--- a/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
+++ b/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
@@ -198,8 +198,8 @@
                 }
             }
         }
-        assertTrue(harness.startedAttempts().size()
-                <= tries * (1 + BoundedLoadBalancer.RETRY_PART) + BoundedLoadBalancer.RETRY_BURST);
+        assertTrue(
+                harness.startedAttempts().size() <= tries * (1 + RetryBudget.RETRIES_PER_REQUEST) + RetryBudget.BURST);
     }
 
     @Test
