--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -21,7 +21,6 @@
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
 import fawnlb.membership.SubscriptionSchedule;
-import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -48,6 +47,7 @@
     public BoundedLoadBalancer(LoadBalancerSettings settings, long seed, ActionSink sink) {
         this.settings = settings;
         this.sink = sink;
+        this.pending = new PendingQueue(settings.tickNanos());
         this.zoneAffinity = new ZoneAffinity(settings.costs());
         this.endpoints = new EndpointTable(settings.zone());
         this.pace = new StreamPaceTracker(endpoints, settings.requestClasses().size());
@@ -231,8 +231,7 @@
     // ---- Request life ---------------------------------------------------------------------------------
 
     private final Map<Long, ActiveRequest> tasks = new HashMap<>();
-    private final ArrayDeque<ActiveRequest> held = new ArrayDeque<>();
-    private boolean heldTimer;
+    private final PendingQueue pending;
     private final RetryBudget retryBudget;
     private final RetryPolicy retryPolicy;
     private final AttemptTimeouts timeouts;
@@ -256,7 +255,7 @@
         if (node != null) {
             send(task, node);
         } else if (now < task.lastUsefulAt && task.attemptCount() == 0) {
-            held.add(task);
+            pending.add(task);
             armHeld();
         } else {
             giveUp(task);
@@ -272,28 +271,23 @@
     }
 
     private void armHeld() {
-        if (!heldTimer && !held.isEmpty()) {
-            heldTimer = true;
-            sink.perform(new SetTimer(now + 5 * settings.tickNanos(), HELD_TIMER));
-        }
+        pending.armTimer(now).ifPresent(dueAt -> sink.perform(new SetTimer(dueAt, HELD_TIMER)));
     }
 
     /** Tries held tasks again; one whose time is nearly up is refused. */
     private void serveHeld() {
         warmUp();
-        for (int n = held.size(); n > 0; n--) {
-            ActiveRequest task = held.poll();
-            if (task.isAnswered()) {
-                continue;
-            }
-            EndpointState node = walk(task);
-            if (now + 10 * settings.tickNanos() >= task.lastUsefulAt) {
-                giveUp(task);
-            } else if (node != null) {
-                send(task, node);
-            } else {
-                held.add(task);
-            }
+        pending.takeEach(this::serveHeld);
+    }
+
+    private void serveHeld(ActiveRequest task) {
+        EndpointState node = walk(task);
+        if (pending.isExpiring(task, now)) {
+            giveUp(task);
+        } else if (node != null) {
+            send(task, node);
+        } else {
+            pending.add(task);
         }
     }
 
@@ -395,7 +389,7 @@
             askForList();
         } else if (token == HELD_TIMER) {
             serveHeld();
-            heldTimer = false;
+            pending.onTimerFired();
             armHeld();
         }
     }
--- a/node/src/test/java/fawnlb/policy/StateRetentionTest.java
+++ b/node/src/test/java/fawnlb/policy/StateRetentionTest.java
@@ -75,7 +75,7 @@
         assertTrue(sizeOf(ring, "points") <= 2 * LIVE_ENDPOINTS * HashRing.POINTS_PER_ENDPOINT);
         assertTrue("numbers of those that left are used again", sizeOf(ring, "servers") <= LIVE_ENDPOINTS + 2);
         assertEquals(0, sizeOf(harness.loadBalancer, "tasks"));
-        assertEquals(0, sizeOf(harness.loadBalancer, "held"));
+        assertEquals(0, sizeOf(field(harness.loadBalancer, "pending"), "requests"));
         RecentKeys recent = (RecentKeys) field(field(harness.loadBalancer, "spreader"), "recent");
         assertTrue(recent.size() <= HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
         assertTrue(sizeOf(recent, "sums") <= HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
