--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -3,7 +3,6 @@
 import fawnlb.decision.AttemptOutcome;
 import fawnlb.decision.Endpoint;
 import fawnlb.decision.EndpointPhase;
-import fawnlb.decision.EndpointUpdateKind;
 import fawnlb.decision.LoadBalancer;
 import fawnlb.decision.LoadBalancerAction.CancelAttempt;
 import fawnlb.decision.LoadBalancerAction.FailRequest;
@@ -19,8 +18,6 @@
 import fawnlb.decision.LoadBalancerEvent.ResponseStarted;
 import fawnlb.decision.LoadBalancerEvent.TimerFired;
 import fawnlb.decision.LoadBalancerSettings;
-import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
-import fawnlb.membership.SubscriptionSchedule;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -54,8 +51,7 @@
         this.admission = new AdmissionController(endpoints, pace, new TenantQuotas(settings.tenants()));
         SplittableRandom random = new SplittableRandom(SplitMix64.mix(seed));
         this.slowStart = new SlowStart(settings.endpointLifecycle(), random::nextDouble);
-        this.subscription = new SubscriptionSchedule(
-                settings.instances(), settings.endpointLifecycle().pollDeadlineNanos(), random::nextDouble);
+        this.watch = new DiscoveryWatch(settings, random::nextDouble);
         this.retryBudget = new RetryBudget(settings.instances());
         this.retryPolicy = new RetryPolicy(settings.limits().maxAttempts(), retryBudget);
         this.timeouts = new AttemptTimeouts(retryBudget, latency);
@@ -85,12 +81,10 @@
     // ---- List -----------------------------------------------------------------------------------------
 
     private final EndpointTable endpoints;
-    private final SubscriptionSchedule subscription;
+    private final DiscoveryWatch watch;
 
     private void listed(EndpointsUpdated news) {
-        if (settings.discoveryMode() == DiscoveryMode.WATCHED && news.kind() != EndpointUpdateKind.FILTERED) {
-            subscription.onDiscoveryUpdate(now, news.kind()).ifPresent(this::wakeForList);
-        }
+        watch.onUpdate(news.kind(), now).ifPresent(this::wakeForList);
         if (news.kind().isFailure()) {
             return;
         }
@@ -118,9 +112,9 @@
     }
 
     private void askForList() {
-        if (subscription.isCallDue(now, settings.tickNanos())) {
+        if (watch.isDue(now)) {
             sink.perform(new WatchEndpoints());
-            wakeForList(subscription.onCallStarted(now));
+            wakeForList(watch.onOpening(now));
         }
     }
 
