--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -45,12 +45,14 @@
         this.settings = settings;
         this.sink = sink;
         this.pending = new PendingQueue(settings.tickNanos());
-        this.zoneAffinity = new ZoneAffinity(settings.costs());
         this.endpoints = new EndpointTable(settings.zone());
         this.pace = new StreamPaceTracker(endpoints, settings.requestClasses().size());
         this.admission = new AdmissionController(endpoints, pace, new TenantQuotas(settings.tenants()));
         SplittableRandom random = new SplittableRandom(SplitMix64.mix(seed));
         this.slowStart = new SlowStart(settings.endpointLifecycle(), random::nextDouble);
+        EndpointCapacity capacity = new EndpointCapacity(outliers, slowStart, latency, rollout, pace);
+        ZoneAffinity zoneAffinity = new ZoneAffinity(settings.costs());
+        this.selector = new EndpointSelector(endpoints, new LoadBound(), spreader, zoneAffinity, capacity, pace);
         this.watch = new DiscoveryWatch(settings, random::nextDouble);
         this.retryBudget = new RetryBudget(settings.instances());
         this.retryPolicy = new RetryPolicy(settings.limits().maxAttempts(), retryBudget);
@@ -126,82 +128,14 @@
 
     // ---- Ring and cap ---------------------------------------------------------------------------------
 
-    private EndpointState walk(ActiveRequest task) {
-        EndpointState near = zoneAffinity.prefersLocalZone(task.sessionKey, endpoints) ? walk(task, true) : null;
-        return near != null ? near : walk(task, false);
-    }
-
-    /**
-     * Walks clockwise to the first replica that may take the task and is below the cap, else to the first that may take
-     * it; null if none. Near: only replicas of this router's zone are met and counted.
-     */
-    private EndpointState walk(ActiveRequest task, boolean near) {
-        if (endpoints.ring().size() == 0) {
-            return null;
-        }
-        int replicas = near ? endpoints.localReadyCount() : endpoints.warmCount();
-        long key = spreader.ringKey(task, replicas);
-        int at = endpoints.ring().firstIndexFor(key);
-        EndpointState fallback = null;
-        long limit = loadBound.limit(near ? endpoints.localInFlight() : endpoints.inFlight(), replicas);
-        double quickest = pace.fastestKind();
-        long mark = endpoints.nextPass();
-        int left = near ? endpoints.localReadyCount() : endpoints.readyCount();
-        for (int i = at, seen = 0; seen < endpoints.ring().size() && left > 0; seen++) {
-            EndpointState node = endpoints.ring().endpointAt(i);
-            i = i + 1 == endpoints.ring().size() ? 0 : i + 1;
-            if (node.lastPass == mark || node.phase != EndpointPhase.READY || near && !endpoints.isLocal(node)) {
-                continue;
-            }
-            node.lastPass = mark;
-            left--;
-            if (!IdempotencyRules.permits(task, node, now) || task.wasTriedOn(node)) {
-                continue;
-            }
-            boolean rests = slowStart.isResting(node, now);
-            if (rests
-                    || outliers.isEjected(node, endpoints.zoneCount(), now)
-                    || node.awaitingFirstToken >= node.capacity) {
-                continue;
-            }
-            if (node.inFlight < capOf(node, limit, task) && pace.keepsKey(node, key, quickest)) {
-                if (task.attemptCount() == 0) {
-                    if (fallback != null) {
-                        loadBound.recordSpilled();
-                    } else {
-                        loadBound.recordPlaced();
-                    }
-                }
-                return node;
-            }
-            fallback = fallback == null ? node : fallback;
-        }
-        return fallback;
-    }
-
     // ---- Exceptions -----------------------------------------------------------------------------------
 
     private final HotKeySpreader spreader = new HotKeySpreader();
 
-    private final ZoneAffinity zoneAffinity;
-    private final LoadBound loadBound = new LoadBound();
+    private final EndpointSelector selector;
 
     private final LatencyTracker latency = new LatencyTracker();
 
-    private long capOf(EndpointState node, long limit, ActiveRequest task) {
-        double part = latency.capacityFraction(node, task.firstTokenObjectiveNanos, now);
-        part *= slowStart.capacityFraction(node, now);
-        part *= rollout.isNext(node, now) && pace.median() < MAX_ROLLOUT_SLOWDOWN * pace.bestMedian()
-                ? NEXT_IN_ROLLOUT_FRACTION
-                : 1;
-        return Math.max(1, (long) (limit * part));
-    }
-
-    /** Endpoints that a rollout replaces next receive this fraction, so that few of their streams are cut. */
-    static final double NEXT_IN_ROLLOUT_FRACTION = 0.3;
-    /** While streams take this many times as long as at best, every endpoint is needed. */
-    static final double MAX_ROLLOUT_SLOWDOWN = 1.6;
-
     private final RolloutPredictor rollout = new RolloutPredictor();
 
     private final AdmissionController admission;
@@ -245,7 +179,7 @@
 
     /** Sends the task's next attempt, or holds the task while no replica may take it. */
     private void place(ActiveRequest task) {
-        EndpointState node = now < task.lastUsefulAt ? walk(task) : null;
+        EndpointState node = now < task.lastUsefulAt ? selector.select(task, now) : null;
         if (node != null) {
             send(task, node);
         } else if (now < task.lastUsefulAt && task.attemptCount() == 0) {
@@ -275,7 +209,7 @@
     }
 
     private void serveHeld(ActiveRequest task) {
-        EndpointState node = walk(task);
+        EndpointState node = selector.select(task, now);
         if (pending.isExpiring(task, now)) {
             giveUp(task);
         } else if (node != null) {
