--- a/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
+++ b/node/src/main/java/fawnlb/policy/BoundedLoadBalancer.java
@@ -23,302 +23,251 @@
 import java.util.SplittableRandom;
 
 /**
- * All decisions of one router. The interface (settings, events, actions) is decision.Balancer.
- *
- * <p>The ordinary path is bounded-load consistent hashing: a request's prefix, else its session, is hashed onto a ring
- * of replicas and sent to the first one clockwise whose count of this router's own attempts is below the cap. What
- * departs from that stands in the section on exceptions, each with what it guards against. A Choice has no clock, no
- * threads and no state but its own.
+ * The decisions of one instance: consistent hashing with bounded loads, and what departs from it. This class follows
+ * each request from its arrival to its final answer and ties together the classes that decide, each on one concern. It
+ * has no clock, no threads and no I/O; the host calls it from one thread.
  */
 public final class BoundedLoadBalancer implements LoadBalancer {
-
-    // ---- Settings -------------------------------------------------------------------------------------
-
-    private static final int LIST_TIMER = 0;
-    private static final int HELD_TIMER = 1;
+    private static final int WATCH_TIMER = 0;
+    private static final int QUEUE_TIMER = 1;
 
     private final LoadBalancerSettings settings;
     private final ActionSink sink;
-    private long now;
 
+    private final EndpointTable endpoints;
+    private final DiscoveryWatch watch;
+    private final SlowStart slowStart;
+    private final RolloutPredictor rollout = new RolloutPredictor();
+    private final StreamPaceTracker pace;
+    private final HotKeySpreader spreader = new HotKeySpreader();
+    private final EndpointSelector selector;
+    private final EndpointFeedback feedback;
+
+    private final Map<Long, ActiveRequest> requests = new HashMap<>();
+    private final PendingQueue pending;
+    private final AdmissionController admission;
+    private final RetryBudget retryBudget;
+    private final RetryPolicy retryPolicy;
+    private final AttemptTimeouts timeouts;
+
+    /** Creates the load balancer of one instance, which draws its random numbers from a seed. */
     public BoundedLoadBalancer(LoadBalancerSettings settings, long seed, ActionSink sink) {
         this.settings = settings;
         this.sink = sink;
-        this.pending = new PendingQueue(settings.tickNanos());
-        this.endpoints = new EndpointTable(settings.zone());
-        this.pace = new StreamPaceTracker(endpoints, settings.requestClasses().size());
-        this.admission = new AdmissionController(endpoints, pace, new TenantQuotas(settings.tenants()));
         SplittableRandom random = new SplittableRandom(SplitMix64.mix(seed));
-        this.slowStart = new SlowStart(settings.endpointLifecycle(), random::nextDouble);
+        OutlierDetector outliers = new OutlierDetector();
+        LatencyTracker latency = new LatencyTracker();
+        endpoints = new EndpointTable(settings.zone());
+        watch = new DiscoveryWatch(settings, random::nextDouble);
+        slowStart = new SlowStart(settings.endpointLifecycle(), random::nextDouble);
+        pace = new StreamPaceTracker(endpoints, settings.requestClasses().size());
+        admission = new AdmissionController(endpoints, pace, new TenantQuotas(settings.tenants()));
+        feedback = new EndpointFeedback(endpoints, slowStart, outliers, latency, pace, admission);
         EndpointCapacity capacity = new EndpointCapacity(outliers, slowStart, latency, rollout, pace);
         ZoneAffinity zoneAffinity = new ZoneAffinity(settings.costs());
-        this.selector = new EndpointSelector(endpoints, new LoadBound(), spreader, zoneAffinity, capacity, pace);
-        this.watch = new DiscoveryWatch(settings, random::nextDouble);
-        this.retryBudget = new RetryBudget(settings.instances());
-        this.retryPolicy = new RetryPolicy(settings.limits().maxAttempts(), retryBudget);
-        this.timeouts = new AttemptTimeouts(retryBudget, latency);
+        selector = new EndpointSelector(endpoints, new LoadBound(), spreader, zoneAffinity, capacity, pace);
+        pending = new PendingQueue(settings.tickNanos());
+        retryBudget = new RetryBudget(settings.instances());
+        retryPolicy = new RetryPolicy(settings.limits().maxAttempts(), retryBudget);
+        timeouts = new AttemptTimeouts(retryBudget, latency);
     }
 
     @Override
-    public void onEvent(long time, LoadBalancerEvent event) {
-        now = time;
-        if (event instanceof RequestArrived e) {
-            arrived(e);
-        } else if (event instanceof AttemptEnded e) {
-            ended(e);
-        } else if (event instanceof ResponseStarted e) {
-            started(e);
-        } else if (event instanceof TimerFired e) {
-            timerDue(e.token());
-        } else if (event instanceof EndpointsUpdated e) {
-            listed(e);
-        } else if (event instanceof ClientDisconnected e) {
-            ActiveRequest task = tasks.get(e.requestId());
-            if (task != null) {
-                close(task);
-            }
+    public void onEvent(long now, LoadBalancerEvent event) {
+        if (event instanceof RequestArrived arrived) {
+            onRequestArrived(arrived, now);
+        } else if (event instanceof AttemptEnded ended) {
+            onAttemptEnded(ended, now);
+        } else if (event instanceof ResponseStarted started) {
+            onResponseStarted(started, now);
+        } else if (event instanceof TimerFired fired) {
+            onTimerFired(fired, now);
+        } else if (event instanceof EndpointsUpdated updated) {
+            onEndpointsUpdated(updated, now);
+        } else if (event instanceof ClientDisconnected disconnected) {
+            onClientDisconnected(disconnected);
         }
     }
 
-    // ---- List -----------------------------------------------------------------------------------------
-
-    private final EndpointTable endpoints;
-    private final DiscoveryWatch watch;
-
-    private void listed(EndpointsUpdated news) {
-        watch.onUpdate(news.kind(), now).ifPresent(this::wakeForList);
-        if (news.kind().isFailure()) {
+    private void onEndpointsUpdated(EndpointsUpdated update, long now) {
+        watch.onUpdate(update.kind(), now).ifPresent(this::setWatchTimer);
+        if (update.kind().isFailure()) {
             return;
         }
-        endpoints.update(news, this::beforeUpdate);
-        recount();
+        endpoints.update(update, (known, listed) -> beforeUpdate(known, listed, now));
+        recountEndpoints();
         if (endpoints.areAllInSlowStart()) {
             slowStart.startWithoutDelayIfIdle(now);
         }
-        serveHeld();
+        servePending(now);
     }
 
-    private void beforeUpdate(EndpointState node, Endpoint replica) {
-        if (replica.startedAt() != node.startedAt) {
-            restarted(node, replica.startedAt());
+    private void beforeUpdate(EndpointState known, Endpoint listed, long now) {
+        if (listed.startedAt() != known.startedAt) {
+            feedback.onRestart(known, listed.startedAt(), now);
         }
-        if (replica.phase() == EndpointPhase.DRAINING && node.phase == EndpointPhase.READY) {
+        if (listed.phase() == EndpointPhase.DRAINING && known.isReady()) {
             rollout.onDrain(now);
         }
-        pace.onListed(node, replica.kind());
-    }
-
-    /** The last timer that was set counts: if all did, each call that fails would leave two behind. */
-    private void wakeForList(long at) {
-        sink.perform(new SetTimer(at, LIST_TIMER));
-    }
-
-    private void askForList() {
-        if (watch.isDue(now)) {
-            sink.perform(new WatchEndpoints());
-            wakeForList(watch.onOpening(now));
-        }
+        pace.onListed(known, listed.kind());
     }
 
-    private void recount() {
+    private void recountEndpoints() {
         endpoints.recount();
         pace.onReadyChanged(endpoints.ready());
         rollout.onReadyChanged(endpoints.ready());
     }
 
-    // ---- Ring and cap ---------------------------------------------------------------------------------
-
-    // ---- Exceptions -----------------------------------------------------------------------------------
-
-    private final HotKeySpreader spreader = new HotKeySpreader();
-
-    private final EndpointSelector selector;
-
-    private final LatencyTracker latency = new LatencyTracker();
-
-    private final RolloutPredictor rollout = new RolloutPredictor();
-
-    private final AdmissionController admission;
-    private final StreamPaceTracker pace;
-
-    private final SlowStart slowStart;
-
-    private void restarted(EndpointState node, long readyAt) {
-        outliers.onRestart(node);
-        latency.onRestart(node);
-        admission.onRestart(node);
-        slowStart.onRestart(node, readyAt, now, endpoints.warmCount());
+    private void endElapsedSlowStarts(long now) {
+        if (slowStart.endElapsed(now)) {
+            recountEndpoints();
+        }
     }
 
-    private void warmUp() {
-        if (slowStart.endElapsed(now)) {
-            recount();
+    private void onTimerFired(TimerFired timer, long now) {
+        if (timer.token() == WATCH_TIMER && watch.isDue(now)) {
+            sink.perform(new WatchEndpoints());
+            setWatchTimer(watch.onOpening(now));
+        } else if (timer.token() == QUEUE_TIMER) {
+            servePending(now);
+            pending.onTimerFired();
+            armPendingTimer(now);
         }
     }
 
-    // ---- Request life ---------------------------------------------------------------------------------
+    private void setWatchTimer(long dueAt) {
+        sink.perform(new SetTimer(dueAt, WATCH_TIMER));
+    }
 
-    private final Map<Long, ActiveRequest> tasks = new HashMap<>();
-    private final PendingQueue pending;
-    private final RetryBudget retryBudget;
-    private final RetryPolicy retryPolicy;
-    private final AttemptTimeouts timeouts;
+    private void armPendingTimer(long now) {
+        pending.armTimer(now).ifPresent(dueAt -> sink.perform(new SetTimer(dueAt, QUEUE_TIMER)));
+    }
 
-    private void arrived(RequestArrived request) {
-        warmUp();
-        ActiveRequest task = new ActiveRequest(request, settings.requestClass(request.classIndex()), now);
-        tasks.put(request.requestId(), task);
+    private void onRequestArrived(RequestArrived arrival, long now) {
+        endElapsedSlowStarts(now);
+        ActiveRequest request = new ActiveRequest(arrival, settings.requestClass(arrival.classIndex()), now);
+        requests.put(request.id(), request);
         retryBudget.onRequest();
-        spreader.record(task, endpoints.readyCount());
-        if (admission.shouldShed(task)) {
-            giveUp(task);
+        spreader.record(request, endpoints.readyCount());
+        if (admission.shouldShed(request)) {
+            answerWithoutResponse(request);
         } else {
-            place(task);
+            place(request, now);
         }
     }
 
-    /** Sends the task's next attempt, or holds the task while no replica may take it. */
-    private void place(ActiveRequest task) {
-        EndpointState node = now < task.lastUsefulAt ? selector.select(task, now) : null;
-        if (node != null) {
-            send(task, node);
-        } else if (now < task.lastUsefulAt && task.attemptCount() == 0) {
-            pending.add(task);
-            armHeld();
+    /** Starts the next attempt, or queues the request while no endpoint may take its first one. */
+    private void place(ActiveRequest request, long now) {
+        boolean isUseful = now < request.lastUsefulAt;
+        EndpointState endpoint = isUseful ? selector.select(request, now) : null;
+        if (endpoint != null) {
+            startAttempt(request, endpoint, now);
+        } else if (isUseful && request.attemptCount() == 0) {
+            pending.add(request);
+            armPendingTimer(now);
         } else {
-            giveUp(task);
+            answerWithoutResponse(request);
         }
     }
 
-    private void send(ActiveRequest task, EndpointState node) {
-        task.addAttempt(node, now);
-        endpoints.onAttemptStarted(node);
-        latency.onAttemptStarted(node, now);
-        slowStart.onAttemptStarted(node, task.work, now, endpoints.warmCount());
-        sink.perform(new StartAttempt(task.id(), node.id, timeouts.deadline(task, now, endpoints.readyCount())));
+    private void servePending(long now) {
+        endElapsedSlowStarts(now);
+        pending.takeEach(request -> servePending(request, now));
     }
 
-    private void armHeld() {
-        pending.armTimer(now).ifPresent(dueAt -> sink.perform(new SetTimer(dueAt, HELD_TIMER)));
-    }
-
-    /** Tries held tasks again; one whose time is nearly up is refused. */
-    private void serveHeld() {
-        warmUp();
-        pending.takeEach(this::serveHeld);
-    }
-
-    private void serveHeld(ActiveRequest task) {
-        EndpointState node = selector.select(task, now);
-        if (pending.isExpiring(task, now)) {
-            giveUp(task);
-        } else if (node != null) {
-            send(task, node);
+    private void servePending(ActiveRequest request, long now) {
+        EndpointState endpoint = selector.select(request, now);
+        if (pending.isExpiring(request, now)) {
+            answerWithoutResponse(request);
+        } else if (endpoint != null) {
+            startAttempt(request, endpoint, now);
         } else {
-            pending.add(task);
+            pending.add(request);
         }
     }
 
-    private void started(ResponseStarted event) {
-        ActiveRequest task = tasks.get(event.requestId());
-        if (task == null || event.attempt() >= task.attemptCount()) {
+    private void startAttempt(ActiveRequest request, EndpointState endpoint, long now) {
+        request.addAttempt(endpoint, now);
+        feedback.onAttemptStarted(endpoint, request, now);
+        long deadline = timeouts.deadline(request, now, endpoints.readyCount());
+        sink.perform(new StartAttempt(request.id(), endpoint.id, deadline));
+    }
+
+    private void onResponseStarted(ResponseStarted started, long now) {
+        ActiveRequest request = requests.get(started.requestId());
+        Attempt attempt = request == null ? null : request.attempt(started.attempt());
+        if (attempt == null) {
             return;
         }
-        Attempt attempt = task.attempt(event.attempt());
         attempt.responseStarted = true;
-        attempt.firstTokenNanos = event.elapsedNanos();
-        latency.onSignOfLife(attempt.endpoint, now);
-        latency.record(attempt.endpoint, event.elapsedNanos());
-        outliers.onResponseStarted(attempt.endpoint);
-        admission.recordFirstToken(attempt.endpoint, task, event.elapsedNanos());
-        close(task);
+        attempt.firstTokenNanos = started.elapsedNanos();
+        feedback.onResponseStarted(attempt, request, started.elapsedNanos(), now);
+        finish(request);
     }
 
-    private void ended(AttemptEnded event) {
-        ActiveRequest task = tasks.get(event.requestId());
-        if (task == null || event.attempt() >= task.attemptCount()) {
-            return;
-        }
-        Attempt attempt = task.attempt(event.attempt());
-        if (!attempt.inFlight) {
+    private void onAttemptEnded(AttemptEnded ended, long now) {
+        ActiveRequest request = requests.get(ended.requestId());
+        Attempt attempt = request == null ? null : request.attempt(ended.attempt());
+        if (attempt == null || !attempt.inFlight) {
             return;
         }
-        EndpointState node = attempt.endpoint;
-        boolean silent = event.outcome() == AttemptOutcome.TIMEOUT || event.outcome() == AttemptOutcome.STALLED;
-        task.endAttempt(attempt, event.outcome().mayHaveRun());
-        endpoints.onAttemptEnded(node);
-        if (!attempt.responseStarted) {
-            if (silent || event.outcome() == AttemptOutcome.CANCELLED) {
-                latency.onGivenUp(node);
-            } else {
-                latency.onSignOfLife(node, now);
-            }
-        }
-        if (silent && !attempt.responseStarted) {
-            latency.record(node, event.elapsedNanos());
-        }
-        outliers.onAttemptEnded(node, event.outcome(), attempt.responseStarted, now);
-        if (event.outcome() == AttemptOutcome.SERVED && attempt.responseStarted) {
-            pace.record(node, task, event.elapsedNanos() - attempt.firstTokenNanos);
-        }
-        if (silent && !attempt.responseStarted || event.outcome() == AttemptOutcome.FULL) {
-            admission.recordOverload(node);
-        }
-        if (event.requestFinished() || event.outcome() == AttemptOutcome.SERVED) {
-            close(task);
-        } else if (!task.isAnswered() && !task.hasAttemptsInFlight()) {
-            again(task, event.outcome());
-        }
-        if (task.isAnswered() && !task.hasAttemptsInFlight()) {
-            tasks.remove(task.id());
+        request.endAttempt(attempt, ended.outcome().mayHaveRun());
+        feedback.onAttemptEnded(attempt, request, ended.outcome(), ended.elapsedNanos(), now);
+        if (ended.requestFinished() || ended.outcome() == AttemptOutcome.SERVED) {
+            finish(request);
+        } else if (!request.isAnswered() && !request.hasAttemptsInFlight()) {
+            retryOrAnswer(request, ended.outcome(), now);
         }
+        forgetIfDone(request);
     }
 
-    /** All attempts so far have failed: one more within the rules and the budget, else the final answer. */
-    private void again(ActiveRequest task, AttemptOutcome outcome) {
-        if (retryPolicy.tryRetry(task, outcome, now)) {
-            place(task);
+    private void retryOrAnswer(ActiveRequest request, AttemptOutcome outcome, long now) {
+        if (retryPolicy.tryRetry(request, outcome, now)) {
+            place(request, now);
         } else {
-            giveUp(task);
+            answerWithoutResponse(request);
         }
     }
 
-    /** The final answer when there is nothing more to try: a refusal where the rules let it be one. */
-    private void giveUp(ActiveRequest task) {
+    private void onClientDisconnected(ClientDisconnected disconnected) {
+        ActiveRequest request = requests.get(disconnected.requestId());
+        if (request != null) {
+            finish(request);
+        }
+    }
+
+    /** Gives the final answer when there is nothing more to try: a rejection where idempotency allows it. */
+    private void answerWithoutResponse(ActiveRequest request) {
         sink.perform(
-                IdempotencyRules.mayReject(task)
-                        ? new RejectRequest(task.id(), settings.limits().maxRetryAfterNanos())
-                        : new FailRequest(task.id()));
-        close(task);
+                IdempotencyRules.mayReject(request)
+                        ? new RejectRequest(request.id(), settings.limits().maxRetryAfterNanos())
+                        : new FailRequest(request.id()));
+        finish(request);
     }
 
-    /** The task has its final answer; its attempts still count until each has ended. */
-    private void close(ActiveRequest task) {
-        if (!task.isAnswered()) {
-            task.markAnswered();
-            for (int i = 0; i < task.attemptCount() && settings.limits().cancellation(); i++) {
-                Attempt attempt = task.attempt(i);
-                if (attempt.inFlight && !attempt.responseStarted) {
-                    sink.perform(new CancelAttempt(task.id(), i));
-                }
+    /** The request has its final answer; its attempts count as in flight until each has ended. */
+    private void finish(ActiveRequest request) {
+        if (!request.isAnswered()) {
+            request.markAnswered();
+            if (settings.limits().cancellation()) {
+                cancelAttemptsWithoutResponse(request);
             }
         }
-        if (!task.hasAttemptsInFlight()) {
-            tasks.remove(task.id());
-        }
+        forgetIfDone(request);
     }
 
-    private final OutlierDetector outliers = new OutlierDetector();
-
-    // ---- Timers ---------------------------------------------------------------------------------------
+    private void cancelAttemptsWithoutResponse(ActiveRequest request) {
+        for (int i = 0; i < request.attemptCount(); i++) {
+            Attempt attempt = request.attempt(i);
+            if (attempt.inFlight && !attempt.responseStarted) {
+                sink.perform(new CancelAttempt(request.id(), i));
+            }
+        }
+    }
 
-    private void timerDue(int token) {
-        if (token == LIST_TIMER) {
-            askForList();
-        } else if (token == HELD_TIMER) {
-            serveHeld();
-            pending.onTimerFired();
-            armHeld();
+    private void forgetIfDone(ActiveRequest request) {
+        if (request.isAnswered() && !request.hasAttemptsInFlight()) {
+            requests.remove(request.id());
         }
     }
 }
--- a/node/src/test/java/fawnlb/policy/StateRetentionTest.java
+++ b/node/src/test/java/fawnlb/policy/StateRetentionTest.java
@@ -74,7 +74,7 @@
         assertEquals(LIVE_ENDPOINTS * HashRing.POINTS_PER_ENDPOINT, ring.size());
         assertTrue(sizeOf(ring, "points") <= 2 * LIVE_ENDPOINTS * HashRing.POINTS_PER_ENDPOINT);
         assertTrue("numbers of those that left are used again", sizeOf(ring, "servers") <= LIVE_ENDPOINTS + 2);
-        assertEquals(0, sizeOf(harness.loadBalancer, "tasks"));
+        assertEquals(0, sizeOf(harness.loadBalancer, "requests"));
         assertEquals(0, sizeOf(field(harness.loadBalancer, "pending"), "requests"));
         RecentKeys recent = (RecentKeys) field(field(harness.loadBalancer, "spreader"), "recent");
         assertTrue(recent.size() <= HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
