--- a/node/src/main/java/fawnlb/cli/Main.java
+++ b/node/src/main/java/fawnlb/cli/Main.java
@@ -5,6 +5,8 @@
 import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
 import fawnlb.admin.AdminClient;
+import fawnlb.config.AddressParser;
+import fawnlb.config.ConfigurationException;
 import fawnlb.config.MessagesConfiguration;
 import fawnlb.config.ServerConfiguration;
 import fawnlb.config.StartupConfiguration;
@@ -21,7 +23,6 @@
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
 import java.io.IOException;
-import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -63,10 +64,10 @@
                 description = "when streams are given up, and the admin listener; without it, the usual")
         private String streamsFile;
 
-        ServerConfiguration readServerConfiguration() throws ServerConfiguration.ConfigurationException {
+        ServerConfiguration readServerConfiguration() throws ConfigurationException {
             if (configurationFile == null) {
-                throw new ServerConfiguration.ConfigurationException(
-                        "no configuration: give --config FILE or set PROXY_CONFIG");
+                throw new ConfigurationException(
+                        null, null, "no configuration: give --config FILE or set PROXY_CONFIG");
             }
             ServerConfiguration configuration = ServerConfiguration.read(Path.of(configurationFile), System.getenv());
             configuration.warnings().forEach(System.err::println);
@@ -79,7 +80,7 @@
                 Map<String, String> environment = new HashMap<>(System.getenv());
                 environment.remove("PROXY_DISCOVERY");
                 server.reload(ServerConfiguration.read(Path.of(configurationFile), environment));
-            } catch (ServerConfiguration.ConfigurationException e) {
+            } catch (ConfigurationException e) {
                 LOG.warning("configuration not reloaded, the old settings stay: " + e.getMessage());
             }
         }
@@ -93,18 +94,17 @@
             }
         }
 
-        MessagesConfiguration readMessagesConfiguration() throws ServerConfiguration.ConfigurationException {
+        MessagesConfiguration readMessagesConfiguration() throws ConfigurationException {
             return messagesFile == null ? null : MessagesConfiguration.read(Path.of(messagesFile));
         }
 
-        StreamConfiguration readStreamConfiguration() throws ServerConfiguration.ConfigurationException {
+        StreamConfiguration readStreamConfiguration() throws ConfigurationException {
             return streamsFile == null
                     ? StreamConfiguration.defaults()
                     : StreamConfiguration.read(Path.of(streamsFile));
         }
 
-        StartupConfiguration readStartupConfiguration(LoadBalancerSettings settings)
-                throws ServerConfiguration.ConfigurationException {
+        StartupConfiguration readStartupConfiguration(LoadBalancerSettings settings) throws ConfigurationException {
             return startupFile == null
                     ? StartupConfiguration.defaults(settings)
                     : StartupConfiguration.read(Path.of(startupFile), settings);
@@ -193,17 +193,15 @@
         private List<String> arguments = new ArrayList<>();
 
         @Override
-        public void run() throws ServerConfiguration.ConfigurationException {
+        public void run() throws ConfigurationException {
             if (arguments.size() != 2 || !arguments.get(0).equals("show")) {
-                throw new ServerConfiguration.ConfigurationException("snapshot: expected 'show FILE'");
+                throw new ConfigurationException(null, "snapshot", "expected 'show FILE'");
             }
             try {
                 SnapshotPrinter.print(
                         SnapshotStore.read(Path.of(arguments.get(1))), System.currentTimeMillis(), System.out);
-            } catch (NoSuchFileException e) {
-                throw new ServerConfiguration.ConfigurationException(arguments.get(1) + ": no such file");
             } catch (IOException e) {
-                throw new ServerConfiguration.ConfigurationException(arguments.get(1) + ": " + e.getMessage());
+                throw ConfigurationException.unreadable(Path.of(arguments.get(1)), e);
             }
         }
     }
@@ -222,8 +220,7 @@
         @Override
         public void run() throws Exception {
             try {
-                System.out.print(
-                        AdminClient.fetchTargets(ServerConfiguration.parseAddress("--admin", adminAddress), asJson));
+                System.out.print(AdminClient.fetchTargets(AddressParser.parse("--admin", adminAddress), asJson));
             } catch (IOException e) {
                 throw new IOException("no answer from " + adminAddress + ": " + e.getMessage());
             }
@@ -293,7 +290,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(() -> awaitLogWritten(logWriter), "last lines"));
         try {
             parseCommand(args).run();
-        } catch (ParameterException | ServerConfiguration.ConfigurationException e) {
+        } catch (ParameterException | ConfigurationException e) {
             System.err.println("fawnlb: " + e.getMessage());
             System.exit(EXIT_USAGE_ERROR);
         } catch (Exception e) {
--- a/node/src/main/java/fawnlb/config/ConfigurationFile.java
+++ b/node/src/main/java/fawnlb/config/ConfigurationFile.java
@@ -12,32 +12,54 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** A JSON file of the operators', as paths with values; whatever is wrong with one is said in one line. */
+/**
+ * A JSON file of settings, read as paths with values: {@code {"admin":{"listen":"x"}}} holds {@code admin.listen}. It
+ * remembers which settings were read, so that misspelled ones can be rejected. It is used by one thread.
+ */
 final class ConfigurationFile {
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
     private final Path file;
-    private final Map<String, String> values = new HashMap<>();
-    private final Set<String> unreadSettings = new TreeSet<>();
+    private final Map<String, String> values;
+    private final Set<String> unreadSettings;
 
-    ConfigurationFile(Path file) throws ServerConfiguration.ConfigurationException {
+    private ConfigurationFile(Path file, Map<String, String> values) {
         this.file = file;
+        this.values = values;
+        this.unreadSettings = new TreeSet<>(values.keySet());
+    }
+
+    /**
+     * Reads a file.
+     *
+     * @throws ConfigurationException if the file cannot be read, or holds no JSON object
+     */
+    static ConfigurationFile read(Path file) throws ConfigurationException {
+        Map<String, String> values = new HashMap<>();
         try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(file))) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new ServerConfiguration.ConfigurationException(file + ": not a JSON object");
+                throw new ConfigurationException(file, null, "not a JSON object");
             }
             JsonFlattener.flatten(parser, "", values);
         } catch (IOException e) {
-            throw ServerConfiguration.ConfigurationException.unreadable(file, e);
+            throw ConfigurationException.unreadable(file, e);
         }
-        unreadSettings.addAll(values.keySet());
+        return new ConfigurationFile(file, values);
+    }
+
+    /** A file without settings, of which only defaults can be read. */
+    static ConfigurationFile empty() {
+        return new ConfigurationFile(null, Map.of());
     }
 
-    /** The value as it stands, null if there is none. */
+    /** The value of a setting, null if there is none. */
     String optionalText(String path) {
         unreadSettings.remove(path);
         return values.get(path);
     }
 
-    String requiredText(String path) throws ServerConfiguration.ConfigurationException {
+    /** The value of a setting that must be there and not be empty. */
+    String requiredText(String path) throws ConfigurationException {
         String text = optionalText(path);
         if (text == null || text.isEmpty()) {
             throw invalid(path, "required");
@@ -45,48 +67,71 @@
         return text;
     }
 
+    /** The values of a list, none if it is not there. */
     List<String> readList(String path) {
         String text = optionalText(path);
         return text == null || text.isEmpty() ? List.of() : List.of(text.split(","));
     }
 
-    /** A whole number; {@code defaultValue} below 0 means that it is required. */
-    long readNumber(String path, long defaultValue, long minimum, long maximum)
-            throws ServerConfiguration.ConfigurationException {
+    /** A whole number that must be there. */
+    long requiredNumber(String path, long minimum, long maximum) throws ConfigurationException {
+        return parseNumber(path, optionalText(path), minimum, maximum);
+    }
+
+    /** A whole number. The default need not lie between the minimum and the maximum. */
+    long optionalNumber(String path, long defaultValue, long minimum, long maximum) throws ConfigurationException {
         String text = optionalText(path);
-        if (text == null && defaultValue >= 0) {
-            return defaultValue;
-        }
+        return text == null ? defaultValue : parseNumber(path, text, minimum, maximum);
+    }
+
+    /** The nanoseconds of a time that must be there, and that the file gives in milliseconds. */
+    long requiredMillisAsNanos(String path, long minimumMillis, long maximumMillis) throws ConfigurationException {
+        return requiredNumber(path, minimumMillis, maximumMillis) * NANOS_PER_MILLI;
+    }
+
+    /** The nanoseconds of a time that the file gives in milliseconds. */
+    long optionalMillisAsNanos(String path, long defaultMillis, long minimumMillis, long maximumMillis)
+            throws ConfigurationException {
+        return optionalNumber(path, defaultMillis, minimumMillis, maximumMillis) * NANOS_PER_MILLI;
+    }
+
+    private long parseNumber(String path, String text, long minimum, long maximum) throws ConfigurationException {
         try {
             long value = Long.parseLong(text == null ? "" : text);
             if (value >= minimum && value <= maximum) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below, like one out of range.
+            // Rejected below, like a number out of range.
         }
-        throw invalid(
-                path,
-                "expected a whole number from " + minimum + " to " + maximum + ", found "
-                        + (text == null ? "nothing" : "'" + text + "'"));
+        String found = text == null ? "nothing" : "'" + text + "'";
+        throw invalid(path, "expected a whole number from " + minimum + " to " + maximum + ", found " + found);
     }
 
-    boolean readBoolean(String path, boolean defaultValue) throws ServerConfiguration.ConfigurationException {
+    boolean readBoolean(String path, boolean defaultValue) throws ConfigurationException {
         String text = optionalText(path);
-        if (text == null || text.equals("true") || text.equals("false")) {
-            return text == null ? defaultValue : text.equals("true");
+        if (text == null) {
+            return defaultValue;
         }
-        throw invalid(path, "expected true or false, found '" + text + "'");
+        return switch (text) {
+            case "true" -> true;
+            case "false" -> false;
+            default -> throw invalid(path, "expected true or false, found '" + text + "'");
+        };
     }
 
-    /** A word that is not a setting is a mistake that would go unnoticed for long. */
-    void rejectUnknownSettings() throws ServerConfiguration.ConfigurationException {
+    /**
+     * Rejects the file if it holds a setting that nobody has read. It is called when all settings have been read, since
+     * a misspelled one would go unnoticed for long.
+     */
+    void rejectUnknownSettings() throws ConfigurationException {
         if (!unreadSettings.isEmpty()) {
             throw invalid(unreadSettings.iterator().next(), "no such setting");
         }
     }
 
-    ServerConfiguration.ConfigurationException invalid(String path, String expected) {
-        return new ServerConfiguration.ConfigurationException(file + ": " + path + ": " + expected);
+    /** An exception that names this file, for a setting with an invalid value. */
+    ConfigurationException invalid(String path, String expected) {
+        return new ConfigurationException(file, path, expected);
     }
 }
--- a/node/src/main/java/fawnlb/config/MessagesConfiguration.java
+++ b/node/src/main/java/fawnlb/config/MessagesConfiguration.java
@@ -10,23 +10,47 @@
 import java.util.List;
 import java.util.Set;
 
-/** The second front's file. {@code messagesApiKinds}: the kinds of backend that speak the messages dialect. */
+/**
+ * The configuration of the messages API, which teams use under contracts.
+ *
+ * @param messagesApiKinds the kinds of endpoints that offer the messages API themselves
+ * @param syslog where records of requests are sent, null if nowhere
+ */
 public record MessagesConfiguration(
         InetSocketAddress listenAddress,
         Set<String> messagesApiKinds,
         Contracts contracts,
         SyslogConfiguration syslog) {
-    private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long MILLIS_PER_DAY = 86_400_000;
+    private static final int MAX_TEAMS = 10_000;
+    /** The facility "local use 0" of RFC 5424. */
+    private static final int DEFAULT_SYSLOG_FACILITY = 16;
 
-    /** Where flow records go; null in the configuration if nowhere. */
+    private static final int MAX_SYSLOG_FACILITY = 23;
+
+    /** The syslog collector that receives records of requests, over TCP or else over UDP. */
     public record SyslogConfiguration(InetSocketAddress collectorAddress, boolean isTcp, int facility) {}
 
-    public static MessagesConfiguration read(Path file) throws ServerConfiguration.ConfigurationException {
-        ConfigurationFile settings = new ConfigurationFile(file);
+    /**
+     * Reads the file.
+     *
+     * @throws ConfigurationException if the file cannot be read, or a setting is missing or invalid
+     */
+    public static MessagesConfiguration read(Path file) throws ConfigurationException {
+        ConfigurationFile settings = ConfigurationFile.read(file);
+        List<Contract> teams = readTeams(settings);
+        return new MessagesConfiguration(
+                AddressParser.parse("listen", settings.optionalText("listen")),
+                Set.copyOf(settings.readList("message-kinds")),
+                new Contracts(teams),
+                readSyslog(settings));
+    }
+
+    private static List<Contract> readTeams(ConfigurationFile settings) throws ConfigurationException {
         List<Contract> teams = new ArrayList<>();
         Set<String> seenKeys = new HashSet<>();
-        for (int i = 0; i < settings.readNumber("teams.count", 0, 0, 10_000); i++) {
+        long count = settings.optionalNumber("teams.count", 0, 0, MAX_TEAMS);
+        for (int i = 0; i < count; i++) {
             Contract team = readTeam(settings, "teams." + i + '.');
             if (!seenKeys.add(team.key())) {
                 throw settings.invalid("teams." + i + ".key", "another team has the same key");
@@ -36,19 +60,14 @@
         if (teams.isEmpty()) {
             throw settings.invalid("teams", "names no team");
         }
-        return new MessagesConfiguration(
-                ServerConfiguration.parseAddress("listen", settings.optionalText("listen")),
-                Set.copyOf(settings.readList("message-kinds")),
-                new Contracts(List.copyOf(teams)),
-                syslog(settings));
+        return List.copyOf(teams);
     }
 
-    private static Contract readTeam(ConfigurationFile settings, String prefix)
-            throws ServerConfiguration.ConfigurationException {
+    private static Contract readTeam(ConfigurationFile settings, String prefix) throws ConfigurationException {
         Budget budget = new Budget(
-                settings.readNumber(prefix + "budget.requests", -1, 0, Integer.MAX_VALUE),
-                settings.readNumber(prefix + "budget.tokens", -1, 0, Long.MAX_VALUE),
-                settings.readNumber(prefix + "budget.window-ms", -1, 0, MILLIS_PER_DAY) * NANOS_PER_MILLI);
+                settings.requiredNumber(prefix + "budget.requests", 0, Integer.MAX_VALUE),
+                settings.requiredNumber(prefix + "budget.tokens", 0, Long.MAX_VALUE),
+                settings.requiredMillisAsNanos(prefix + "budget.window-ms", 0, MILLIS_PER_DAY));
         String tenant = settings.optionalText(prefix + "tenant");
         settings.requiredText(prefix + "classes");
         settings.requiredText(prefix + "models");
@@ -58,12 +77,11 @@
                 tenant == null ? "" : tenant,
                 settings.readList(prefix + "classes"),
                 settings.readList(prefix + "models"),
-                settings.readNumber(prefix + "deadline-ms", -1, 0, MILLIS_PER_DAY) * NANOS_PER_MILLI,
+                settings.requiredMillisAsNanos(prefix + "deadline-ms", 0, MILLIS_PER_DAY),
                 budget);
     }
 
-    private static SyslogConfiguration syslog(ConfigurationFile settings)
-            throws ServerConfiguration.ConfigurationException {
+    private static SyslogConfiguration readSyslog(ConfigurationFile settings) throws ConfigurationException {
         String collector = settings.optionalText("syslog.collector");
         if (collector == null) {
             return null;
@@ -72,8 +90,8 @@
         if (transport != null && !transport.equals("udp") && !transport.equals("tcp")) {
             throw settings.invalid("syslog.transport", "expected udp or tcp, found '" + transport + "'");
         }
-        return new SyslogConfiguration(
-                ServerConfiguration.parseAddress("syslog.collector", collector), "tcp".equals(transport), (int)
-                        settings.readNumber("syslog.facility", 16, 0, 23));
+        InetSocketAddress collectorAddress = AddressParser.parse("syslog.collector", collector);
+        long facility = settings.optionalNumber("syslog.facility", DEFAULT_SYSLOG_FACILITY, 0, MAX_SYSLOG_FACILITY);
+        return new SyslogConfiguration(collectorAddress, "tcp".equals(transport), (int) facility);
     }
 }
--- a/node/src/main/java/fawnlb/config/ServerConfiguration.java
+++ b/node/src/main/java/fawnlb/config/ServerConfiguration.java
@@ -9,13 +9,20 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
-import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
-/** What a node is told at its start. {@code initialEndpoints}: the list as it last had it, null if it never had one. */
+/**
+ * The main configuration of a server, which the platform writes.
+ *
+ * @param name the name of the server in its log
+ * @param seed the seed of the load balancer's random numbers
+ * @param maxDescriptors how many file descriptors the process may have open
+ * @param initialEndpoints the endpoint list as the server last had it, null if it never had one
+ * @param warnings a line for each setting of the load balancer that could not be read and got its default
+ */
 public record ServerConfiguration(
         String name,
         InetSocketAddress listenAddress,
@@ -25,102 +32,87 @@
         EndpointList initialEndpoints,
         LoadBalancerSettings settings,
         List<String> warnings) {
-    /** Below this nothing is left for clients beside a third for backends and what the process itself needs. */
-    private static final int MIN_DESCRIPTORS = 96;
+    /** The environment variable that overrides the address of discovery. */
+    public static final String DISCOVERY_VARIABLE = "PROXY_DISCOVERY";
 
-    /** A configuration that can't be used; the message is one line. */
-    public static final class ConfigurationException extends Exception {
-        private static final long serialVersionUID = 1;
+    private static final String NAME_VARIABLE = "PROXY_NAME";
+    private static final String LISTEN_VARIABLE = "PROXY_LISTEN";
+    /** With fewer, nothing is left for clients beside a third for backends and what the process itself needs. */
+    private static final int MIN_DESCRIPTORS = 96;
 
-        public ConfigurationException(String message) {
-            super(message);
-        }
+    private static final int SEED_RADIX = 16;
 
-        static ConfigurationException unreadable(Path file, IOException cause) {
-            return new ConfigurationException(
-                    cause instanceof NoSuchFileException
-                            ? file + ": no such file"
-                            : file + ": "
-                                    + String.valueOf(cause.getMessage())
-                                            .lines()
-                                            .findFirst()
-                                            .orElse("unreadable"));
+    /**
+     * Reads the file. The name and the addresses that the environment gives override those of the file.
+     *
+     * @throws ConfigurationException if the file cannot be read, or a setting without which the server cannot run is
+     *     missing or invalid
+     */
+    public static ServerConfiguration read(Path file, Map<String, String> environment) throws ConfigurationException {
+        FileContent content = readContent(file);
+        Map<String, String> values = content.values();
+        SettingsParser parser = new SettingsParser(values);
+        LoadBalancerSettings settings = parser.parse();
+        if (settings.requestClasses().isEmpty()) {
+            throw new ConfigurationException(file, null, "settings name no request class");
         }
+        return new ServerConfiguration(
+                environment.getOrDefault(NAME_VARIABLE, values.getOrDefault("node.name", "node")),
+                AddressParser.parse("listen", environment.getOrDefault(LISTEN_VARIABLE, values.get("node.listen"))),
+                AddressParser.parse(
+                        "discovery", environment.getOrDefault(DISCOVERY_VARIABLE, values.get("node.discovery"))),
+                parseSeed(values.getOrDefault("node.seed", "0")),
+                parseMaxDescriptors(values.getOrDefault("node.limits.sockets", "1024")),
+                content.initialEndpoints(),
+                settings,
+                parser.warnings());
     }
 
-    /** Reads the file; the environment's addresses and name win over the file's. */
-    public static ServerConfiguration read(Path file, Map<String, String> environment) throws ConfigurationException {
-        Map<String, String> pairs = new HashMap<>();
+    /** The settings of the file under {@code node.} and those of its load balancer, and its endpoint list. */
+    private record FileContent(Map<String, String> values, EndpointList initialEndpoints) {}
+
+    private static FileContent readContent(Path file) throws ConfigurationException {
+        Map<String, String> values = new HashMap<>();
         EndpointList initialEndpoints = null;
         try (JsonParser json = new JsonFactory().createParser(Files.readAllBytes(file))) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new ConfigurationException(file + ": not a JSON object");
+                throw new ConfigurationException(file, null, "not a JSON object");
             }
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String name = json.currentName();
                 json.nextToken();
-                if (name.equals("known") && json.currentToken() == JsonToken.START_OBJECT) {
+                if (!name.equals("known")) {
+                    JsonFlattener.flatten(json, name.equals("settings") ? "" : "node." + name, values);
+                } else if (json.currentToken() == JsonToken.START_OBJECT) {
                     initialEndpoints = EndpointListCodec.read(json);
-                } else if (name.equals("known")) {
-                    json.skipChildren();
                 } else {
-                    JsonFlattener.flatten(json, name.equals("settings") ? "" : "node." + name, pairs);
+                    json.skipChildren();
                 }
             }
         } catch (IOException e) {
             throw ConfigurationException.unreadable(file, e);
         }
-        SettingsParser parser = new SettingsParser(pairs);
-        LoadBalancerSettings settings = parser.parse();
-        if (settings.requestClasses().isEmpty()) {
-            throw new ConfigurationException(file + ": settings name no request class");
-        }
-        return new ServerConfiguration(
-                environment.getOrDefault("PROXY_NAME", pairs.getOrDefault("node.name", "node")),
-                parseAddress("listen", environment.getOrDefault("PROXY_LISTEN", pairs.get("node.listen"))),
-                parseAddress("discovery", environment.getOrDefault("PROXY_DISCOVERY", pairs.get("node.discovery"))),
-                seed(pairs.getOrDefault("node.seed", "0")),
-                maxDescriptors(pairs.getOrDefault("node.limits.sockets", "1024")),
-                initialEndpoints,
-                settings,
-                parser.warnings());
-    }
-
-    /** An address in the form {@code host:port}. */
-    public static InetSocketAddress parseAddress(String setting, String text) throws ConfigurationException {
-        int colon = text == null ? -1 : text.lastIndexOf(':');
-        try {
-            int port = colon <= 0 ? -1 : Integer.parseInt(text.substring(colon + 1));
-            InetSocketAddress address =
-                    port >= 0 && port <= 0xffff ? new InetSocketAddress(text.substring(0, colon), port) : null;
-            if (address != null && !address.isUnresolved()) {
-                return address;
-            }
-        } catch (NumberFormatException e) {
-            // Told below, like a missing one.
-        }
-        throw new ConfigurationException(setting + ": expected host:port of a host that can be found, found "
-                + (text == null ? "nothing" : "'" + text + "'"));
+        return new FileContent(values, initialEndpoints);
     }
 
-    private static long seed(String text) throws ConfigurationException {
+    private static long parseSeed(String text) throws ConfigurationException {
         try {
-            return Long.parseUnsignedLong(text, 16);
+            return Long.parseUnsignedLong(text, SEED_RADIX);
         } catch (NumberFormatException e) {
-            throw new ConfigurationException("seed: expected hexadecimal digits, found '" + text + "'");
+            throw new ConfigurationException(null, "seed", "expected hexadecimal digits, found '" + text + "'");
         }
     }
 
-    private static int maxDescriptors(String text) throws ConfigurationException {
+    private static int parseMaxDescriptors(String text) throws ConfigurationException {
         try {
             int maxDescriptors = Integer.parseInt(text);
             if (maxDescriptors >= MIN_DESCRIPTORS) {
                 return maxDescriptors;
             }
         } catch (NumberFormatException e) {
-            // Told below, like one that is too low.
+            // Rejected below, like a number that is too low.
         }
         throw new ConfigurationException(
-                "limits.sockets: expected " + MIN_DESCRIPTORS + " or more, found '" + text + "'");
+                null, "limits.sockets", "expected " + MIN_DESCRIPTORS + " or more, found '" + text + "'");
     }
 }
--- a/node/src/main/java/fawnlb/config/StartupConfiguration.java
+++ b/node/src/main/java/fawnlb/config/StartupConfiguration.java
@@ -6,9 +6,13 @@
 import java.nio.file.Path;
 
 /**
- * The operators' file for starts without discovery. {@code snapshotFile}: where the list is kept, null if nowhere;
- * {@code maxSnapshotAgeNanos}: what was last heard of longer ago, in nanoseconds, is not started from;
- * {@code isListTrusted}: the list is believed as it stands, without probation.
+ * The configuration of starts without discovery.
+ *
+ * @param snapshotFile where snapshots of the endpoint list are written, null if none are
+ * @param snapshotPacing how often snapshots are written
+ * @param maxSnapshotAgeNanos an endpoint of a snapshot is left out if its last contact is longer ago
+ * @param isListTrusted whether the endpoints of the first list get requests without having to prove themselves
+ * @param restoreRules how the endpoints of the first list prove themselves
  */
 public record StartupConfiguration(
         Path snapshotFile,
@@ -17,83 +21,65 @@
         boolean isListTrusted,
         RestoreSettings restoreRules) {
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final long MILLIS_PER_DAY = 86_400_000;
+    private static final long MILLIS_PER_HOUR = 3_600_000;
+    private static final long MILLIS_PER_DAY = 24 * MILLIS_PER_HOUR;
+    private static final long MILLIS_PER_DECADE = 3650 * MILLIS_PER_DAY;
 
-    /** What holds without a file: nothing is kept, and the configuration's own list is on probation. */
+    /** The configuration that holds without a file: no snapshots, and the first list is not trusted. */
     public static StartupConfiguration defaults(LoadBalancerSettings loadBalancerSettings) {
-        return new StartupConfiguration(
-                null,
-                new WriteIntervals(0, 0),
-                7 * MILLIS_PER_DAY * NANOS_PER_MILLI,
-                false,
-                restoreRulesOfMillis(
-                        loadBalancerSettings,
-                        3_600_000,
-                        3,
-                        loadBalancerSettings.endpointLifecycle().slowStartWindowNanos() / NANOS_PER_MILLI,
-                        8,
-                        3,
-                        1000,
-                        16_000,
-                        0));
+        try {
+            return parse(ConfigurationFile.empty(), loadBalancerSettings);
+        } catch (ConfigurationException e) {
+            throw new IllegalStateException("the defaults are not valid", e);
+        }
     }
 
+    /**
+     * Reads the file. Some defaults depend on the settings of the load balancer.
+     *
+     * @throws ConfigurationException if the file cannot be read, or holds an invalid or unknown setting
+     */
     public static StartupConfiguration read(Path file, LoadBalancerSettings loadBalancerSettings)
-            throws ServerConfiguration.ConfigurationException {
-        ConfigurationFile settings = new ConfigurationFile(file);
+            throws ConfigurationException {
+        ConfigurationFile settings = ConfigurationFile.read(file);
+        StartupConfiguration configuration = parse(settings, loadBalancerSettings);
+        settings.rejectUnknownSettings();
+        return configuration;
+    }
+
+    private static StartupConfiguration parse(ConfigurationFile settings, LoadBalancerSettings loadBalancerSettings)
+            throws ConfigurationException {
         String snapshotFile = settings.optionalText("snapshot.file");
         WriteIntervals snapshotPacing = new WriteIntervals(
-                settings.readNumber("snapshot.least-interval-ms", 1000, 100, MILLIS_PER_DAY) * NANOS_PER_MILLI,
-                settings.readNumber("snapshot.refresh-ms", 30_000, 100, MILLIS_PER_DAY) * NANOS_PER_MILLI);
+                settings.optionalMillisAsNanos("snapshot.least-interval-ms", 1000, 100, MILLIS_PER_DAY),
+                settings.optionalMillisAsNanos("snapshot.refresh-ms", 30_000, 100, MILLIS_PER_DAY));
         long maxSnapshotAgeNanos =
-                settings.readNumber("snapshot.oldest-ms", 7 * MILLIS_PER_DAY, 1, 3650 * MILLIS_PER_DAY)
-                        * NANOS_PER_MILLI;
-        RestoreSettings rules = restoreRulesOfMillis(
-                loadBalancerSettings,
-                settings.readNumber("probation.half-life-ms", 3_600_000, 1, 3650 * MILLIS_PER_DAY),
-                (int) settings.readNumber("probation.proofs", 3, 1, 1000),
-                settings.readNumber(
-                        "probation.settle-ms",
-                        loadBalancerSettings.endpointLifecycle().slowStartWindowNanos() / NANOS_PER_MILLI,
-                        0,
-                        MILLIS_PER_DAY),
-                (int) settings.readNumber("probation.waiting", 8, 1, 10_000),
-                (int) settings.readNumber("probation.at-once", 3, 1, 10_000),
-                settings.readNumber("probation.doubt-ms", 1000, 1, MILLIS_PER_DAY),
-                settings.readNumber("probation.longest-doubt-ms", 16_000, 1, MILLIS_PER_DAY),
-                settings.readNumber("empty-list.hold-ms", 0, 0, MILLIS_PER_DAY));
-        if (rules.maxEjectionNanos() < rules.baseEjectionNanos()) {
+                settings.optionalMillisAsNanos("snapshot.oldest-ms", 7 * MILLIS_PER_DAY, 1, MILLIS_PER_DECADE);
+        RestoreSettings restoreRules = parseRestoreRules(settings, loadBalancerSettings);
+        if (restoreRules.maxEjectionNanos() < restoreRules.baseEjectionNanos()) {
             throw settings.invalid("probation.longest-doubt-ms", "shorter than probation.doubt-ms");
         }
         boolean isListTrusted = !settings.readBoolean("probation.on", true);
-        settings.rejectUnknownSettings();
         return new StartupConfiguration(
                 snapshotFile == null ? null : Path.of(snapshotFile),
                 snapshotPacing,
                 maxSnapshotAgeNanos,
                 isListTrusted,
-                rules);
+                restoreRules);
     }
 
-    private static RestoreSettings restoreRulesOfMillis(
-            LoadBalancerSettings loadBalancerSettings,
-            long halfLifeMillis,
-            int requiredSuccesses,
-            long settleMillis,
-            int maxWaitingRequests,
-            int maxConcurrentTrials,
-            long ejectionMillis,
-            long maxEjectionMillis,
-            long emptyListHoldMillis) {
+    private static RestoreSettings parseRestoreRules(
+            ConfigurationFile settings, LoadBalancerSettings loadBalancerSettings) throws ConfigurationException {
+        long slowStartWindowMillis = loadBalancerSettings.endpointLifecycle().slowStartWindowNanos() / NANOS_PER_MILLI;
         return new RestoreSettings(
-                halfLifeMillis * NANOS_PER_MILLI,
-                requiredSuccesses,
-                settleMillis * NANOS_PER_MILLI,
-                maxWaitingRequests,
+                settings.optionalMillisAsNanos("probation.half-life-ms", MILLIS_PER_HOUR, 1, MILLIS_PER_DECADE),
+                (int) settings.optionalNumber("probation.proofs", 3, 1, 1000),
+                settings.optionalMillisAsNanos("probation.settle-ms", slowStartWindowMillis, 0, MILLIS_PER_DAY),
+                (int) settings.optionalNumber("probation.waiting", 8, 1, 10_000),
                 loadBalancerSettings.instances(),
-                maxConcurrentTrials,
-                ejectionMillis * NANOS_PER_MILLI,
-                maxEjectionMillis * NANOS_PER_MILLI,
-                emptyListHoldMillis * NANOS_PER_MILLI);
+                (int) settings.optionalNumber("probation.at-once", 3, 1, 10_000),
+                settings.optionalMillisAsNanos("probation.doubt-ms", 1000, 1, MILLIS_PER_DAY),
+                settings.optionalMillisAsNanos("probation.longest-doubt-ms", 16_000, 1, MILLIS_PER_DAY),
+                settings.optionalMillisAsNanos("empty-list.hold-ms", 0, 0, MILLIS_PER_DAY));
     }
 }
--- a/node/src/test/java/fawnlb/config/ConfigurationFilesTest.java
+++ b/node/src/test/java/fawnlb/config/ConfigurationFilesTest.java
@@ -63,9 +63,7 @@
         for (String[] row : cases) {
             Path file = writeFile(row[0]);
             String message = assertThrows(
-                            row[0],
-                            ServerConfiguration.ConfigurationException.class,
-                            () -> ServerConfiguration.read(file, Map.of()))
+                            row[0], ConfigurationException.class, () -> ServerConfiguration.read(file, Map.of()))
                     .getMessage();
             assertTrue(message, message.contains(row[1]) && message.lines().count() == 1);
         }
@@ -93,10 +91,7 @@
         };
         for (String[] row : cases) {
             Path file = writeFile(row[0]);
-            String message = assertThrows(
-                            row[0],
-                            ServerConfiguration.ConfigurationException.class,
-                            () -> MessagesConfiguration.read(file))
+            String message = assertThrows(row[0], ConfigurationException.class, () -> MessagesConfiguration.read(file))
                     .getMessage();
             assertTrue(message, message.contains(row[1]) && message.lines().count() == 1);
         }
@@ -133,7 +128,7 @@
             Path file = writeFile(row[0]);
             String message = assertThrows(
                             row[0],
-                            ServerConfiguration.ConfigurationException.class,
+                            ConfigurationException.class,
                             () -> StartupConfiguration.read(
                                     file,
                                     ServerConfiguration.read(writeFile(VALID_SERVER_FILE), Map.of())
@@ -166,10 +161,7 @@
         };
         for (String[] row : cases) {
             Path file = writeFile(row[0]);
-            String message = assertThrows(
-                            row[0],
-                            ServerConfiguration.ConfigurationException.class,
-                            () -> StreamConfiguration.read(file))
+            String message = assertThrows(row[0], ConfigurationException.class, () -> StreamConfiguration.read(file))
                     .getMessage();
             assertTrue(message, message.contains(row[1]) && message.lines().count() == 1);
         }
