--- a/node/src/main/java/fawnlb/config/JsonFlattener.java
+++ b/node/src/main/java/fawnlb/config/JsonFlattener.java
@@ -8,13 +8,21 @@
 import java.util.Map;
 
 /**
- * Flattens nested JSON settings to the paths of the simulator's pairs: a list of plain values is joined with commas; a
- * list of objects puts its length under {@code .count} and its items under {@code .0}, {@code .1}.
+ * Flattens nested JSON to paths with values, the form in which the simulator gives its settings: {@code {"a":{"b":1}}}
+ * becomes {@code a.b} with the value {@code 1}. The plain values of a list are joined with commas. A list of objects
+ * has its length under {@code .count} and its items under {@code .0}, {@code .1} and so on. Nulls are left out. Spaces
+ * and commas within a text become underscores.
  */
 final class JsonFlattener {
     private JsonFlattener() {}
 
-    /** Flattens the value that the parser stands at. */
+    /**
+     * Flattens the value at the parser's current token, and leaves the parser at the last token of that value.
+     *
+     * @param path the path of the value, empty for the settings themselves
+     * @param settings receives the paths and values
+     * @throws IOException if the text is not JSON
+     */
     static void flatten(JsonParser parser, String path, Map<String, String> settings) throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT -> {
@@ -32,16 +40,16 @@
 
     private static void flattenArray(JsonParser parser, String path, Map<String, String> settings) throws IOException {
         List<String> values = new ArrayList<>();
-        int objects = 0;
+        int objectCount = 0;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (parser.currentToken().isStructStart()) {
-                flatten(parser, path + '.' + objects++, settings);
+                flatten(parser, path + '.' + objectCount++, settings);
             } else {
                 values.add(readScalar(parser));
             }
         }
-        if (objects > 0) {
-            settings.put(path + ".count", Integer.toString(objects));
+        if (objectCount > 0) {
+            settings.put(path + ".count", Integer.toString(objectCount));
         } else {
             settings.put(path, String.join(",", values));
         }
