--- a/lab/src/main/java/fawnlb/lab/scenario/FaultRound.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/FaultRound.java
@@ -96,7 +96,7 @@
             testbed.requireNodesAlive();
             boolean allClosed = awaitAllClosed(admin);
             System.out.println(
-                    "streams at the node, " + backendDialect + " backends:\n" + AdminClient.fetchTargets(admin, false));
+                    "streams at the node, " + backendDialect + " backends:\n" + AdminClient.fetchTargets(admin));
             return allClosed;
         }
     }
@@ -252,7 +252,7 @@
     private static boolean awaitAllClosed(InetSocketAddress admin) throws IOException, InterruptedException {
         for (int i = 0; i < CLOSE_POLLS; i++) {
             TimeUnit.MILLISECONDS.sleep(CLOSE_POLL_MILLIS);
-            if (AdminClient.fetchTargets(admin, false).contains(ALL_CLOSED)) {
+            if (AdminClient.fetchTargets(admin).contains(ALL_CLOSED)) {
                 return true;
             }
         }
--- a/lab/src/main/java/fawnlb/lab/scenario/SlowReaders.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/SlowReaders.java
@@ -182,7 +182,7 @@
         int polls = seconds * POLLS_PER_SECOND;
         for (int i = 0; i < polls || statistics.openTurns() > 0 && i < polls + MAX_COMPLETION_POLLS; i++) {
             TimeUnit.MILLISECONDS.sleep(TimeUnit.SECONDS.toMillis(1) / POLLS_PER_SECOND);
-            table = AdminClient.fetchTargets(admin, false);
+            table = AdminClient.fetchTargets(admin);
             bufferedBytes = Math.max(bufferedBytes, sum(BUFFERED_BYTES, table));
         }
         testbed.requireNodesAlive();
--- a/node/src/main/java/fawnlb/admin/AdminHandler.java
+++ b/node/src/main/java/fawnlb/admin/AdminHandler.java
@@ -12,14 +12,27 @@
 import java.util.function.LongFunction;
 import java.util.logging.Logger;
 
-/** What a running node tells its operators: at a listener of its own, and in the log. It changes nothing. */
+/**
+ * The admin listener's API: the streams of each backend, and the metrics. It only reads. All methods are called on the
+ * I/O thread but {@link #scheduleStatisticsLog}, which may be called on any.
+ */
 public final class AdminHandler implements HttpHandler {
+    static final String TARGETS_PATH = "/targets";
+    static final String TARGETS_JSON_PATH = "/targets.json";
+    private static final String METRICS_PATH = "/metrics";
+    private static final String TEXT = "text/plain";
+    private static final String JSON = "application/json";
+    private static final String PROMETHEUS_TEXT = "text/plain; version=0.0.4";
     private static final Logger LOG = Logger.getLogger(AdminHandler.class.getName());
 
     private final StreamRegistry streams;
     private final LongFunction<String> backendAddresses;
 
-    /** Addresses: where each backend listens. Both are asked on the I/O thread, to which they belong. */
+    /**
+     * Creates a handler.
+     *
+     * @param backendAddresses returns the address of a backend, given its id
+     */
     public AdminHandler(StreamRegistry streams, LongFunction<String> backendAddresses) {
         this.streams = streams;
         this.backendAddresses = backendAddresses;
@@ -29,24 +42,18 @@
     public void handleRequest(HttpServerExchange exchange) {
         if (!exchange.getRequestMethod().equals(Methods.GET)) {
             exchange.getResponseHeaders().put(Headers.ALLOW, "GET");
-            respond(exchange, StatusCodes.METHOD_NOT_ALLOWED, "text/plain", "only GET is served here\n");
+            respond(exchange, StatusCodes.METHOD_NOT_ALLOWED, TEXT, "only GET is served here\n");
             return;
         }
         switch (exchange.getRequestPath()) {
-            case "/targets" -> respond(exchange, StatusCodes.OK, "text/plain", formatTargets());
-            case "/targets.json" ->
-                respond(
-                        exchange,
-                        StatusCodes.OK,
-                        "application/json",
-                        StreamStatisticsFormatter.toJson(streams.statistics(), backendAddresses));
-            case "/metrics" ->
-                respond(exchange, StatusCodes.OK, "text/plain; version=0.0.4", Metrics.toPrometheusText());
+            case TARGETS_PATH -> respond(exchange, StatusCodes.OK, TEXT, formatTargets());
+            case TARGETS_JSON_PATH -> respond(exchange, StatusCodes.OK, JSON, formatTargetsAsJson());
+            case METRICS_PATH -> respond(exchange, StatusCodes.OK, PROMETHEUS_TEXT, Metrics.toPrometheusText());
             default ->
                 respond(
                         exchange,
                         StatusCodes.NOT_FOUND,
-                        "text/plain",
+                        TEXT,
                         "no such path; there are /targets, /targets.json and /metrics\n");
         }
     }
@@ -60,7 +67,11 @@
                 + " stream(s) open, " + streams.bufferedBytes() + " byte(s) held for their readers\n";
     }
 
-    /** Writes the table to the log each time so many nanoseconds have passed. */
+    private String formatTargetsAsJson() {
+        return StreamStatisticsFormatter.toJson(streams.statistics(), backendAddresses);
+    }
+
+    /** Writes the table of backends to the log now and then, for as long as the server runs. */
     public void scheduleStatisticsLog(long intervalNanos, Timers timers) {
         timers.schedule(intervalNanos, () -> {
             LOG.info("targets:\n" + formatTargets());
--- a/node/src/test/java/fawnlb/server/ResponseStreamTest.java
+++ b/node/src/test/java/fawnlb/server/ResponseStreamTest.java
@@ -30,7 +30,9 @@
                     + "\"admin\":{\"listen\":\"127.0.0.1:0\"}}";
 
     private static String readAdmin(ServerHarness harness, boolean json) throws IOException {
-        return AdminClient.fetchTargets(harness.server.address(1), json);
+        return json
+                ? AdminClient.fetchTargetsAsJson(harness.server.address(1))
+                : AdminClient.fetchTargets(harness.server.address(1));
     }
 
     private static void waitForOpenStreams(ServerHarness harness, int streams) {
