--- a/node/src/main/java/fawnlb/admin/StreamStatisticsFormatter.java
+++ b/node/src/main/java/fawnlb/admin/StreamStatisticsFormatter.java
@@ -12,13 +12,20 @@
 import java.util.function.LongFunction;
 import java.util.stream.Collectors;
 
-/** The figures of all backends as people read them, and as tools do. */
+/** Formats the statistics of all backends' streams, as a table for people and as JSON for tools. */
 final class StreamStatisticsFormatter {
     private static final String ROW_FORMAT = "%-16s %-22s %5s %9s %9s  %-34s %s%n";
+    private static final String NONE = "-";
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
     private StreamStatisticsFormatter() {}
 
-    /** A table; {@code backendAddresses}: where a backend listens. */
+    /**
+     * Formats a table with a row for each backend.
+     *
+     * @param backendAddresses returns the address of a backend, given its id
+     */
     static String toText(List<StreamStatistics> statistics, LongFunction<String> backendAddresses) {
         StringBuilder out = new StringBuilder(String.format(
                 ROW_FORMAT, "target", "address", "open", "held", "cut after", "open, by state", "ended, by how"));
@@ -29,37 +36,24 @@
                     backendAddresses.apply(backend.backend()),
                     backend.openStreams(),
                     backend.bufferedBytes() + " B",
-                    backend.allowedGapNanos() / 1_000_000 + " ms",
+                    backend.allowedGapNanos() / NANOS_PER_MILLI + " ms",
                     formatStates(backend),
                     formatEndReasons(backend.endsByLabel())));
         }
         return out.toString();
     }
 
-    /** A JSON array with an object for each backend; times in milliseconds, sizes in bytes. */
+    /**
+     * Formats a JSON array with an object for each backend. Times are in milliseconds, sizes in bytes.
+     *
+     * @param backendAddresses returns the address of a backend, given its id
+     */
     static String toJson(List<StreamStatistics> statistics, LongFunction<String> backendAddresses) {
         StringWriter text = new StringWriter();
-        try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
+        try (JsonGenerator json = JSON_FACTORY.createGenerator(text)) {
             json.writeStartArray();
             for (StreamStatistics backend : statistics) {
-                json.writeStartObject();
-                json.writeStringField("target", formatTargetId(backend));
-                json.writeStringField("address", backendAddresses.apply(backend.backend()));
-                json.writeNumberField("open", backend.openStreams());
-                json.writeNumberField("held_bytes", backend.bufferedBytes());
-                json.writeNumberField("cut_after_ms", backend.allowedGapNanos() / 1_000_000);
-                json.writeObjectFieldStart("states");
-                for (Map.Entry<StreamState, Integer> state :
-                        backend.streamsByState().entrySet()) {
-                    json.writeNumberField(state.getKey().label(), state.getValue());
-                }
-                json.writeEndObject();
-                json.writeObjectFieldStart("ends");
-                for (Map.Entry<String, Long> endReason : backend.endsByLabel().entrySet()) {
-                    json.writeNumberField(endReason.getKey(), endReason.getValue());
-                }
-                json.writeEndObject();
-                json.writeEndObject();
+                writeBackend(json, backend, backendAddresses.apply(backend.backend()));
             }
             json.writeEndArray();
         } catch (IOException e) {
@@ -68,13 +62,33 @@
         return text.toString();
     }
 
+    private static void writeBackend(JsonGenerator json, StreamStatistics backend, String address) throws IOException {
+        json.writeStartObject();
+        json.writeStringField("target", formatTargetId(backend));
+        json.writeStringField("address", address);
+        json.writeNumberField("open", backend.openStreams());
+        json.writeNumberField("held_bytes", backend.bufferedBytes());
+        json.writeNumberField("cut_after_ms", backend.allowedGapNanos() / NANOS_PER_MILLI);
+        json.writeObjectFieldStart("states");
+        for (Map.Entry<StreamState, Integer> state : backend.streamsByState().entrySet()) {
+            json.writeNumberField(state.getKey().label(), state.getValue());
+        }
+        json.writeEndObject();
+        json.writeObjectFieldStart("ends");
+        for (Map.Entry<String, Long> end : backend.endsByLabel().entrySet()) {
+            json.writeNumberField(end.getKey(), end.getValue());
+        }
+        json.writeEndObject();
+        json.writeEndObject();
+    }
+
     private static String formatTargetId(StreamStatistics backend) {
         return String.format("%08x", backend.backend());
     }
 
     private static String formatStates(StreamStatistics backend) {
         return backend.streamsByState().isEmpty()
-                ? "-"
+                ? NONE
                 : backend.streamsByState().entrySet().stream()
                         .map(state -> state.getKey().label() + ' ' + state.getValue())
                         .collect(Collectors.joining(", "));
@@ -82,7 +96,7 @@
 
     private static String formatEndReasons(Map<String, Long> counts) {
         return counts.isEmpty()
-                ? "-"
+                ? NONE
                 : counts.entrySet().stream()
                         .map(count -> count.getKey() + ' ' + count.getValue())
                         .collect(Collectors.joining(", "));
