--- a/node/src/main/java/fawnlb/cli/ServeCommand.java
+++ b/node/src/main/java/fawnlb/cli/ServeCommand.java
@@ -3,6 +3,7 @@
 import com.beust.jcommander.Parameters;
 import fawnlb.config.ConfigurationException;
 import fawnlb.config.ServerConfiguration;
+import fawnlb.metrics.LogLine;
 import fawnlb.server.Server;
 import fawnlb.server.SignalHandlers;
 import java.io.IOException;
@@ -27,7 +28,9 @@
                 readStartupConfiguration(configuration.settings()),
                 readStreamConfiguration());
         if (!SignalHandlers.install("HUP", () -> reload(server))) {
-            LOG.warning("SIGHUP is ignored by whoever started this process: the configuration can't be read again");
+            LOG.warning(LogLine.event("SIGHUP is ignored, the configuration can't be read again")
+                    .reason("the process was started with the signal ignored, as nohup does")
+                    .toString());
         }
         // SIGTERM has a handler, since the platform closes the log at once when only a shutdown hook is left to run.
         // The
@@ -42,7 +45,9 @@
         try {
             server.reload(rereadServerConfiguration());
         } catch (ConfigurationException e) {
-            LOG.warning("configuration not reloaded, the old settings stay: " + e.getMessage());
+            LOG.warning(LogLine.event("configuration not reloaded, the old settings stay")
+                    .reason(e.getMessage())
+                    .toString());
         }
     }
 
--- a/node/src/main/java/fawnlb/server/GracefulShutdown.java
+++ b/node/src/main/java/fawnlb/server/GracefulShutdown.java
@@ -2,6 +2,7 @@
 
 import fawnlb.client.ClientConnectionTracker;
 import fawnlb.eventloop.EventLoopCall;
+import fawnlb.metrics.LogLine;
 import fawnlb.metrics.Metrics;
 import fawnlb.proxy.RequestProxy;
 import java.util.logging.Logger;
@@ -59,7 +60,9 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        LOG.info("ended; " + Metrics.summary());
+        LOG.info(LogLine.event("graceful shutdown complete")
+                .with("counters", Metrics.summary())
+                .toString());
         complete = true;
     }
 
@@ -69,8 +72,11 @@
         int openConnections = closeIdleConnections();
         while (openConnections > 0 || requestProxy.openRequests() > 0) {
             if (System.nanoTime() - startedAt > nextLogNanos) {
-                LOG.info("ending: " + openConnections + " clients and " + requestProxy.openRequests()
-                        + " flows are still being served");
+                LOG.info(LogLine.event("graceful shutdown waits for open requests")
+                        .with("client_connections", openConnections)
+                        .with("open_requests", requestProxy.openRequests())
+                        .elapsedNanos(System.nanoTime() - startedAt)
+                        .toString());
                 nextLogNanos += LOG_INTERVAL_NANOS;
             }
             Thread.sleep(POLL_INTERVAL_MILLIS);
--- a/node/src/main/java/fawnlb/server/LogWriter.java
+++ b/node/src/main/java/fawnlb/server/LogWriter.java
@@ -1,5 +1,6 @@
 package fawnlb.server;
 
+import fawnlb.metrics.LogLine;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.atomic.AtomicLong;
@@ -10,12 +11,12 @@
 import java.util.logging.Logger;
 
 /**
- * Hands log lines to the handlers that were there before it on a thread of its own. Standard error may be a pipe that
- * is read too slowly or not at all: a write to it then never returns, and it must not be the I/O thread that waits for
- * it.
+ * A log handler that passes records to other handlers on a thread of its own. Standard error may be a pipe that is read
+ * slowly or not at all; then a write to it does not return, and it must not be the I/O thread that waits. Records for
+ * which the queue has no room are dropped and counted. It may be used on any thread.
  */
 public final class LogWriter extends Handler {
-    /** Lines that may wait; those beyond are counted and left out. */
+    /** How many records may wait to be written. */
     public static final int QUEUE_CAPACITY = 1024;
 
     private final BlockingQueue<LogRecord> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
@@ -23,6 +24,7 @@
     private final Handler[] handlers;
     private volatile boolean isWriting;
 
+    /** Creates a writer and starts its thread. */
     public LogWriter(Handler... handlers) {
         this.handlers = handlers.clone();
         Thread thread = new Thread(this::writeQueuedRecords, "log");
@@ -30,7 +32,7 @@
         thread.start();
     }
 
-    /** Puts itself before all handlers of the root logger. */
+    /** Puts a new writer before all handlers of the root logger. */
     public static LogWriter install() {
         Logger root = LogManager.getLogManager().getLogger("");
         Handler[] installedHandlers = root.getHandlers();
@@ -55,10 +57,8 @@
                 LogRecord record = queue.take();
                 isWriting = true;
                 forward(record);
-                long droppedCount = queue.isEmpty() ? droppedRecords.getAndSet(0) : 0;
-                if (droppedCount > 0) {
-                    forward(new LogRecord(
-                            Level.WARNING, droppedCount + " log lines were left out: nobody read them in time"));
+                if (queue.isEmpty()) {
+                    reportDroppedRecords();
                 }
                 isWriting = false;
             }
@@ -67,25 +67,38 @@
         }
     }
 
+    private void reportDroppedRecords() {
+        long droppedCount = droppedRecords.getAndSet(0);
+        if (droppedCount > 0) {
+            String line = LogLine.event("log lines dropped")
+                    .with("count", droppedCount)
+                    .reason("standard error was not read in time")
+                    .toString();
+            forward(new LogRecord(Level.WARNING, line));
+        }
+    }
+
     private void forward(LogRecord record) {
         for (Handler handler : handlers) {
             handler.publish(record);
         }
     }
 
-    /** Waits until all lines are written, for so many milliseconds at most. */
+    /** Waits until all records are written, or the time is up. */
     public void awaitWritten(long timeoutMillis) throws InterruptedException {
-        for (long remainingMillis = timeoutMillis;
-                remainingMillis > 0 && (isWriting || !queue.isEmpty());
-                remainingMillis--) {
+        for (long remainingMillis = timeoutMillis; remainingMillis > 0 && hasUnwrittenRecords(); remainingMillis--) {
             Thread.sleep(1);
         }
     }
 
+    private boolean hasUnwrittenRecords() {
+        return isWriting || !queue.isEmpty();
+    }
+
     @Override
     public void flush() {}
 
-    /** The end of the program closes handlers while its last flows are still served; lines go on until it is over. */
+    /** Does nothing: the platform closes handlers before the last requests have been answered, and they log on. */
     @Override
     public void close() {}
 }
--- a/node/src/main/java/fawnlb/server/Server.java
+++ b/node/src/main/java/fawnlb/server/Server.java
@@ -15,6 +15,7 @@
 import fawnlb.http.RequestBodyReader;
 import fawnlb.messages.BrokerHandler;
 import fawnlb.messages.RequestLog;
+import fawnlb.metrics.LogLine;
 import fawnlb.platform.PlatformHandler;
 import fawnlb.policy.BoundedLoadBalancer;
 import fawnlb.proxy.RequestProxy;
@@ -108,8 +109,11 @@
         openAdminListener(new AdminHandler(streams, backends::describeAddress));
         eventLoop.startWatchdog();
         gracefulShutdown = new GracefulShutdown(eventLoop, readiness, listeners, connections, requestProxy);
-        LOG.info(configuration.name() + " serves on " + address(0)
-                + (messages == null ? "" : ", teams on " + address(1)));
+        LOG.info(LogLine.event("server listening")
+                .with("name", configuration.name())
+                .with("platform_address", address(0).toString())
+                .with("messages_address", messages == null ? null : address(1).toString())
+                .toString());
     }
 
     private ClientConnectionTracker createConnectionTracker() {
