--- a/node/src/main/java/fawnlb/simulator/ActionWriter.java
+++ b/node/src/main/java/fawnlb/simulator/ActionWriter.java
@@ -8,75 +8,88 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Gathers the actions of one batch and writes them as one reply. */
+/**
+ * Collects the actions that answer a batch of events, and writes them as one batch. All numbers are little-endian. It
+ * is used by one thread.
+ */
 final class ActionWriter {
     private static final int HEADER_BYTES = 8;
+    private static final int RECORD_HEADER_BYTES = Byte.BYTES + Short.BYTES;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
     private static final int MAX_TEXT_BYTES = 0xffff;
+    /** Of the ways in which endpoints can be watched, the one that is used. */
+    private static final byte WATCH_ENABLED = 1;
 
-    private ByteBuffer buffer = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
+    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
     private int recordCount;
 
     ActionWriter() {
         buffer.position(HEADER_BYTES);
     }
 
-    private void beginRecord(int code, int instance, int fieldBytes) {
-        if (buffer.remaining() < 3 + fieldBytes) {
-            int position = buffer.position();
-            buffer = ByteBuffer.wrap(Arrays.copyOf(buffer.array(), 2 * buffer.capacity() + fieldBytes))
-                    .order(ByteOrder.LITTLE_ENDIAN);
-            buffer.position(position);
-        }
-        recordCount++;
-        buffer.put((byte) code).putShort((short) instance);
-    }
-
+    /** Adds an action to the batch. */
     void writeAction(int instance, LoadBalancerAction action) {
-        if (action instanceof LoadBalancerAction.StartAttempt a) {
-            beginRecord(73, instance, 20);
-            buffer.putLong(a.requestId()).putInt((int) a.endpointId()).putLong(a.deadline());
-        } else if (action instanceof LoadBalancerAction.SetTimer a) {
-            beginRecord(70, instance, 12);
-            buffer.putLong(a.dueAt()).putInt(a.token());
-        } else if (action instanceof LoadBalancerAction.RejectRequest a) {
-            beginRecord(66, instance, 16);
-            buffer.putLong(a.requestId()).putLong(a.retryAfterNanos());
-        } else if (action instanceof LoadBalancerAction.FailRequest a) {
-            beginRecord(68, instance, 8);
-            buffer.putLong(a.requestId());
-        } else if (action instanceof LoadBalancerAction.CancelAttempt a) {
-            beginRecord(65, instance, 9);
-            buffer.putLong(a.requestId()).put((byte) a.attempt());
+        if (action instanceof LoadBalancerAction.StartAttempt start) {
+            beginRecord(RecordCodes.START_ATTEMPT, instance, Long.BYTES + Integer.BYTES + Long.BYTES);
+            buffer.putLong(start.requestId()).putInt((int) start.endpointId()).putLong(start.deadline());
+        } else if (action instanceof LoadBalancerAction.CancelAttempt cancel) {
+            beginRecord(RecordCodes.CANCEL_ATTEMPT, instance, Long.BYTES + Byte.BYTES);
+            buffer.putLong(cancel.requestId()).put((byte) cancel.attempt());
+        } else if (action instanceof LoadBalancerAction.RejectRequest reject) {
+            beginRecord(RecordCodes.REJECT_REQUEST, instance, Long.BYTES + Long.BYTES);
+            buffer.putLong(reject.requestId()).putLong(reject.retryAfterNanos());
+        } else if (action instanceof LoadBalancerAction.FailRequest fail) {
+            beginRecord(RecordCodes.FAIL_REQUEST, instance, Long.BYTES);
+            buffer.putLong(fail.requestId());
+        } else if (action instanceof LoadBalancerAction.SetTimer timer) {
+            beginRecord(RecordCodes.SET_TIMER, instance, Long.BYTES + Integer.BYTES);
+            buffer.putLong(timer.dueAt()).putInt(timer.token());
         } else if (action instanceof LoadBalancerAction.WatchEndpoints) {
-            beginRecord(72, instance, 1);
-            buffer.put((byte) 1);
+            beginRecord(RecordCodes.WATCH_ENDPOINTS, instance, Byte.BYTES);
+            buffer.put(WATCH_ENABLED);
         } else if (action instanceof LoadBalancerAction.FetchEndpoints) {
-            beginRecord(67, instance, 0);
-        } else if (action instanceof LoadBalancerAction.CheckHealth a) {
-            beginRecord(75, instance, 4);
-            buffer.putInt((int) a.endpointId());
-        } else if (action instanceof LoadBalancerAction.Log a) {
-            writeText(74, instance, a.text());
+            beginRecord(RecordCodes.FETCH_ENDPOINTS, instance, 0);
+        } else if (action instanceof LoadBalancerAction.CheckHealth check) {
+            beginRecord(RecordCodes.CHECK_HEALTH, instance, Integer.BYTES);
+            buffer.putInt((int) check.endpointId());
+        } else if (action instanceof LoadBalancerAction.Log log) {
+            writeText(RecordCodes.LOG, instance, log.text());
         } else {
-            throw new IllegalArgumentException("no wire form for " + action);
+            throw new IllegalStateException("no wire form for " + action);
         }
     }
 
-    /** Declares the instance's module broken. */
-    void writeModuleFault(int instance, String description) {
-        writeText(69, instance, description);
+    /** Adds to the batch that the load balancer of an instance has failed. */
+    void writeFault(int instance, String description) {
+        writeText(RecordCodes.LOAD_BALANCER_FAULT, instance, description);
     }
 
     private void writeText(int code, int instance, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(bytes.length, MAX_TEXT_BYTES);
-        beginRecord(code, instance, 2 + length);
+        beginRecord(code, instance, Short.BYTES + length);
         buffer.putShort((short) length).put(bytes, 0, length);
     }
 
+    private void beginRecord(int code, int instance, int fieldBytes) {
+        ensureRemaining(RECORD_HEADER_BYTES + fieldBytes);
+        recordCount++;
+        buffer.put((byte) code).putShort((short) instance);
+    }
+
+    private void ensureRemaining(int bytes) {
+        if (buffer.remaining() < bytes) {
+            int position = buffer.position();
+            byte[] larger = Arrays.copyOf(buffer.array(), 2 * buffer.capacity() + bytes);
+            buffer = ByteBuffer.wrap(larger).order(ByteOrder.LITTLE_ENDIAN);
+            buffer.position(position);
+        }
+    }
+
+    /** Writes the batch and begins the next one. */
     void writeBatchTo(OutputStream out) throws IOException {
         int end = buffer.position();
-        buffer.putInt(0, end - HEADER_BYTES).putInt(4, recordCount);
+        buffer.putInt(0, end - HEADER_BYTES).putInt(Integer.BYTES, recordCount);
         out.write(buffer.array(), 0, end);
         out.flush();
         buffer.position(HEADER_BYTES);
--- a/node/src/test/java/fawnlb/simulator/SimulatorHostTest.java
+++ b/node/src/test/java/fawnlb/simulator/SimulatorHostTest.java
@@ -98,7 +98,7 @@
     }
 
     private static String malformedBatchMessage(byte[] input) {
-        return assertThrows(BatchReader.MalformedBatchException.class, () -> exchange(input))
+        return assertThrows(MalformedBatchException.class, () -> exchange(input))
                 .getMessage();
     }
 
@@ -130,7 +130,7 @@
             }
             try {
                 exchange(bytes);
-            } catch (BatchReader.MalformedBatchException e) {
+            } catch (MalformedBatchException e) {
                 malformedCount++;
             }
         }
