--- a/node/src/main/java/fawnlb/backend/BackendPool.java
+++ b/node/src/main/java/fawnlb/backend/BackendPool.java
@@ -72,21 +72,22 @@
      */
     public void updateBackend(
             long id, InetSocketAddress address, long startedAtNanos, EndpointPhase phase, Dialect dialect) {
-        BackendIdentity identity = new BackendIdentity(id, address, startedAtNanos, dialect);
-        Backend backend = backends.get(id);
-        boolean changed = backend != null
-                && (phase == EndpointPhase.GONE || !backend.identity().equals(identity));
-        if (changed) {
-            backends.remove(id);
-            backend.remove();
-        }
-        if (phase != EndpointPhase.GONE && (backend == null || changed)) {
-            backend = new Backend(identity, this, new Mailbox(thread, MAILBOX_CAPACITY));
-            backends.put(id, backend);
+        Backend former = backends.get(id);
+        if (phase == EndpointPhase.GONE) {
+            if (former != null) {
+                backends.remove(id);
+                former.remove();
+            }
+            return;
         }
-        if (phase != EndpointPhase.GONE) {
-            backend.setDraining(phase == EndpointPhase.DRAINING);
+        BackendIdentity identity = new BackendIdentity(id, address, startedAtNanos, dialect);
+        if (former == null || !former.identity().equals(identity)) {
+            if (former != null) {
+                former.remove();
+            }
+            backends.put(id, new Backend(identity, this, new Mailbox(thread, MAILBOX_CAPACITY)));
         }
+        backends.get(id).setDraining(phase == EndpointPhase.DRAINING);
     }
 
     /** Removes all backends whose ids are not given: a complete endpoint list leaves out those that are gone. */
