--- a/node/src/main/java/fawnlb/backend/OutboundRequest.java
+++ b/node/src/main/java/fawnlb/backend/OutboundRequest.java
@@ -39,15 +39,20 @@
         private long tokens;
         private boolean hasFinished;
 
-        /**
-         * Starts empty.
-         *
-         * @param collectsUsage whether tokens and events are counted, which costs parsing the response
-         */
-        public ResponseSummary(boolean collectsUsage) {
+        private ResponseSummary(boolean collectsUsage) {
             this.collectsUsage = collectsUsage;
         }
 
+        /** Returns an empty summary in which tokens and events are counted, which costs parsing the response. */
+        public static ResponseSummary withUsage() {
+            return new ResponseSummary(true);
+        }
+
+        /** Returns an empty summary of a response that is not parsed for its usage. */
+        public static ResponseSummary withoutUsage() {
+            return new ResponseSummary(false);
+        }
+
         boolean collectsUsage() {
             return collectsUsage;
         }
--- a/node/src/main/java/fawnlb/messages/BrokerHandler.java
+++ b/node/src/main/java/fawnlb/messages/BrokerHandler.java
@@ -91,7 +91,7 @@
     private void admit(HttpServerExchange exchange, RequestRecord record, byte[] body) throws RequestRejectedException {
         Contract contract = authenticate(exchange);
         record.setTeam(contract.team());
-        ResponseSummary responseSummary = new ResponseSummary(true);
+        ResponseSummary responseSummary = ResponseSummary.withUsage();
         CompletionRequest completion;
         IncomingRequest request;
         try {
--- a/node/src/main/java/fawnlb/platform/PlatformHandler.java
+++ b/node/src/main/java/fawnlb/platform/PlatformHandler.java
@@ -71,7 +71,7 @@
 
     private void handleBody(HttpServerExchange exchange, byte[] body) {
         IncomingRequest request;
-        OutboundRequest.ResponseSummary responseSummary = new OutboundRequest.ResponseSummary(false);
+        OutboundRequest.ResponseSummary responseSummary = OutboundRequest.ResponseSummary.withoutUsage();
         String id;
         try {
             id = requestId(exchange);
--- a/node/src/test/java/fawnlb/backend/BackendPoolHarness.java
+++ b/node/src/test/java/fawnlb/backend/BackendPoolHarness.java
@@ -83,7 +83,7 @@
                 true,
                 new byte[2],
                 null,
-                new OutboundRequest.ResponseSummary(false));
+                OutboundRequest.ResponseSummary.withoutUsage());
         IncomingRequest request = new IncomingRequest(0, 0, 1, 0, SECOND_NANOS, 1, 0, 1, false, payload);
         pool.startAttempt(id, request, responseDeadlineNanos, sendDeadlineNanos, true, this);
     }
--- a/node/src/test/java/fawnlb/backend/OutboundRequestTest.java
+++ b/node/src/test/java/fawnlb/backend/OutboundRequestTest.java
@@ -22,7 +22,7 @@
                 true,
                 "{}".getBytes(StandardCharsets.UTF_8),
                 translatedBody,
-                new OutboundRequest.ResponseSummary(false));
+                OutboundRequest.ResponseSummary.withoutUsage());
     }
 
     private static String encode(OutboundRequest request, Dialect backendDialect) {
