--- a/node/src/main/java/fawnlb/client/LingeringClose.java
+++ b/node/src/main/java/fawnlb/client/LingeringClose.java
@@ -1,5 +1,6 @@
 package fawnlb.client;
 
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Timers;
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.server.HttpServerExchange;
@@ -12,18 +13,19 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Closes the connection of a request that was answered before all of it had come. The node stops sending, reads and
- * drops the rest until the client closes or a time limit is reached, and closes then. Undertow would close at the first
- * byte of the rest: a close over unread bytes resets the connection, and the answer may be lost with it.
+ * Closes the connection of a request that got its response before all of the request was received.
  *
- * <p>All of it runs on the connection's I/O thread.
+ * <p>A close while bytes are unread resets the connection, and the client may lose the response. So this side ends its
+ * output, reads and discards the rest of the request until the client closes or a timeout passes, and closes then.
+ * Undertow would close at the first byte of the rest.
  */
+@EventLoopOnly
 final class LingeringClose {
-    /** How long the rest is read, in nanoseconds; as long as a whole body may take. */
+    /** As long as a whole request body may take. */
     private static final long LINGER_TIMEOUT_NANOS = 2_000_000_000;
 
     private static final int READ_BUFFER_BYTES = 16 * 1024;
-    /** What is read is dropped, so one buffer does for all. */
+    /** The bytes are discarded, so all connections of a thread can share a buffer. */
     private static final ThreadLocal<ByteBuffer> DISCARD_BUFFER =
             ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(READ_BUFFER_BYTES));
 
@@ -41,17 +43,17 @@
         this.source = connection.getChannel().getSourceChannel();
     }
 
-    /** Notes that the exchange is answered although a part of its request has not been read. */
+    /** Records that an exchange gets its response before all of its request was received. */
     static void markRequestIncomplete(HttpServerExchange exchange) {
         exchange.putAttachment(REQUEST_INCOMPLETE, true);
     }
 
-    /** Whether the connection has to be closed in this way once the exchange is complete. */
+    /** Whether the exchange's connection must be closed by this class once the exchange is complete. */
     static boolean isRequiredFor(HttpServerExchange exchange) {
         return exchange.getAttachment(REQUEST_INCOMPLETE) != null;
     }
 
-    /** Begins to close the connection of an exchange that is complete, in place of Undertow's own close. */
+    /** Starts to close the connection of a complete exchange, in place of Undertow. */
     static void begin(HttpServerExchange exchange, Timers timers) {
         new LingeringClose((HttpServerConnection) exchange.getConnection()).begin(timers);
     }
--- a/node/src/main/java/fawnlb/client/Listener.java
+++ b/node/src/main/java/fawnlb/client/Listener.java
@@ -2,8 +2,7 @@
 
 import fawnlb.eventloop.Timers;
 import fawnlb.eventloop.UncaughtErrorHandler;
-import fawnlb.metrics.Metrics;
-import fawnlb.metrics.Metrics.Metric;
+import fawnlb.metrics.LogLine;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -17,64 +16,78 @@
 import org.xnio.nio.ListeningSocket;
 
 /**
- * Accepts clients on one address, on the I/O thread itself.
+ * Accepts client connections on one address, on the I/O thread itself.
  *
- * <p>An accept can fail for a while (no descriptor, no memory for a socket, a connection reset while it waited). The
- * listener then tries again every {@link #ACCEPT_RETRY_DELAY_NANOS}, neither at once, which would keep the thread busy
- * for as long as the cause lasts, nor after a growing pause, through which clients would wait behind a cause that is
- * gone.
+ * <p>An accept can fail for a while, for lack of descriptors or memory, or because a connection was reset in the accept
+ * queue. The listener then retries at a fixed delay. An immediate retry would occupy the thread for as long as the
+ * cause lasts. A growing delay would let clients wait after the cause has gone.
+ *
+ * <p>All methods but {@link #start} and {@link #address} must be called on the I/O thread.
  */
 public final class Listener implements Closeable {
-    /** How long the listener waits after a failed accept, in nanoseconds. */
+    /** Short for a client that waits, and long enough to cost little while the cause lasts. */
     static final long ACCEPT_RETRY_DELAY_NANOS = 50_000_000;
-    /** One turn accepts so many at most, so that a burst of clients does not keep the others from being read. */
+    /** A burst of new clients must not keep the thread from reading the others. */
     static final int MAX_ACCEPTS_PER_EVENT = 32;
-    /** A failing accept is logged once in so many nanoseconds. */
-    private static final long FAILURE_LOG_INTERVAL_NANOS = 10_000_000_000L;
-    /**
-     * A planned end waits so long for an accept that keeps failing, in nanoseconds; then the socket closes over who
-     * waits.
-     */
+    /** How long a graceful close waits while accepts keep failing. Then the queued connections are reset. */
     private static final long CLOSE_TIMEOUT_NANOS = 2_000_000_000L;
+    /** The delay of a timer that runs as soon as the thread has polled its sockets. */
+    private static final long NEXT_POLL_NANOS = 1;
 
     private static final long NOT_BLOCKED = Long.MIN_VALUE;
     private static final Logger LOG = Logger.getLogger(Listener.class.getName());
 
-    /** Accepts one socket, null if nobody waits. */
+    /** Accepts one socket. */
     @FunctionalInterface
     interface SocketAcceptor {
+        /** Returns a socket, or null if the accept queue is empty. */
         SocketChannel accept() throws IOException;
     }
 
-    /** Takes a new connection on the I/O thread. */
+    /** Receives new connections on the I/O thread. */
     @FunctionalInterface
     public interface ConnectionHandler {
-        /** Waited: for how long it may have been in the kernel's queue, with a request on it, in nanoseconds. */
+        /**
+         * Called once for each connection.
+         *
+         * @param queuedNanos how long the connection may have waited in the kernel's accept queue, with a request on it
+         */
         void onAccepted(StreamConnection connection, long queuedNanos);
     }
 
     /**
-     * Limits of one listener; {@code maxConnections}: connections that are accepted here and still open;
-     * {@code sendBufferBytes}: in bytes.
+     * The limits of one listener.
+     *
+     * @param maxConnections how many connections accepted by this listener may be open; others wait in the accept queue
+     * @param backlog the length of the kernel's accept queue
+     * @param sendBufferBytes the size of each connection's send buffer in the kernel
      */
     public record Limits(int maxConnections, int backlog, int sendBufferBytes) {}
 
+    /** How a run of accepts ended. */
+    private enum AcceptResult {
+        QUEUE_EMPTY,
+        /** As many connections as allowed were accepted; others may be waiting. */
+        BATCH_COMPLETE,
+        AT_CONNECTION_LIMIT,
+        FAILED
+    }
+
     private final ServerSocketChannel channel;
     private final SocketAcceptor acceptor;
     private final Limits limits;
     private final Timers timers;
     private final ConnectionHandler connectionHandler;
+    private final AcceptFailureLog failureLog;
     private ListeningSocket socket;
     private int openConnections;
-    private int unloggedFailures;
-    private long failureLoggedAtNanos;
     private boolean atConnectionLimit;
-    /** Since when somebody may wait in the kernel's queue, since nobody could be accepted. */
+    /** Since when connections may wait in the accept queue because they could not be accepted. */
     private long blockedSinceNanos = NOT_BLOCKED;
 
     private boolean closing;
 
-    /** A listener that is bound and accepts nobody yet; each connection goes to the taker, on the I/O thread. */
+    /** Creates a listener and binds it to an address. It accepts no connection before {@link #start}. */
     public Listener(InetSocketAddress address, Limits limits, Timers timers, ConnectionHandler connectionHandler)
             throws IOException {
         this(bind(address, limits.backlog()), null, limits, timers, connectionHandler);
@@ -91,33 +104,34 @@
         this.limits = limits;
         this.timers = timers;
         this.connectionHandler = connectionHandler;
-        this.failureLoggedAtNanos = timers.now() - FAILURE_LOG_INTERVAL_NANOS;
+        this.failureLog = new AcceptFailureLog(timers);
     }
 
     static ServerSocketChannel bind(InetSocketAddress address, int backlog) throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
+        boolean bound = false;
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             channel.bind(address, backlog);
+            bound = true;
             return channel;
-        } catch (IOException | RuntimeException e) {
-            IoUtils.safeClose(channel);
-            throw e;
+        } finally {
+            if (!bound) {
+                IoUtils.safeClose(channel);
+            }
         }
     }
 
-    /** Accepts from here on; to be called once, on any thread. */
+    /** Starts to accept connections on an I/O thread. Must be called once, on any thread. */
     public void start(XnioIoThread thread) throws IOException {
-        // What it throws would end the thread that carries all connections.
+        // An uncaught error would end the thread that serves all connections.
         socket = ListeningSocket.register(
-                thread,
-                channel,
-                () -> UncaughtErrorHandler.run(this::onAcceptable, "a connection could not be taken", () -> {}));
+                thread, channel, () -> UncaughtErrorHandler.run(this::onAcceptable, "accept handler failed", () -> {}));
         socket.resumeAccepts();
     }
 
-    /** Where it listens. */
+    /** The address that the listener is bound to. May be called on any thread. */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.socket().getLocalSocketAddress();
     }
@@ -143,16 +157,6 @@
         }
     }
 
-    /**
-     * How a run of accepts ended: nobody waits, there may be more, no room for another connection, or an accept failed.
-     */
-    private enum AcceptResult {
-        QUEUE_EMPTY,
-        BATCH_COMPLETE,
-        AT_CONNECTION_LIMIT,
-        FAILED
-    }
-
     private AcceptResult accept(int maxAccepts) {
         AcceptResult result = acceptUpTo(maxAccepts);
         if (result == AcceptResult.QUEUE_EMPTY) {
@@ -172,7 +176,7 @@
             try {
                 accepted = acceptor.accept();
             } catch (IOException e) {
-                recordFailure(e);
+                failureLog.record(address(), e);
                 return AcceptResult.FAILED;
             }
             if (accepted == null) {
@@ -191,17 +195,16 @@
             accepted.setOption(StandardSocketOptions.SO_SNDBUF, limits.sendBufferBytes());
             connection = socket.openConnection(accepted, this::onConnectionClosed);
         } catch (IOException e) {
-            // The client has gone meanwhile, or its socket can't be used.
-            LOG.fine(() -> "an accepted connection could not be used: " + e.getMessage());
+            // The client has disconnected, or its socket can't be used.
+            LOG.fine(() -> LogLine.event("accepted connection failed")
+                    .reason(e.getMessage())
+                    .toString());
             IoUtils.safeClose(accepted);
             return;
         }
         openConnections++;
-        connectionHandler.onAccepted(
-                connection,
-                Math.max(
-                        timers.maxEventAgeNanos(),
-                        blockedSinceNanos == NOT_BLOCKED ? 0 : timers.now() - blockedSinceNanos));
+        long blockedNanos = blockedSinceNanos == NOT_BLOCKED ? 0 : timers.now() - blockedSinceNanos;
+        connectionHandler.onAccepted(connection, Math.max(timers.maxEventAgeNanos(), blockedNanos));
     }
 
     private void onConnectionClosed() {
@@ -212,21 +215,9 @@
         }
     }
 
-    private void recordFailure(IOException e) {
-        unloggedFailures++;
-        Metrics.increment(Metric.ACCEPT_FAILURES, "accept");
-        long nowNanos = timers.now();
-        if (nowNanos - failureLoggedAtNanos >= FAILURE_LOG_INTERVAL_NANOS) {
-            LOG.warning("accept on " + address() + " failed, " + unloggedFailures + " times since the last such line: "
-                    + e.getMessage());
-            failureLoggedAtNanos = nowNanos;
-            unloggedFailures = 0;
-        }
-    }
-
     /**
-     * Accepts whoever has connected by then, and closes the socket in the same turn of the I/O thread, so that nobody
-     * who waits in the kernel's queue is reset. To be called on the I/O thread.
+     * Accepts the connections that wait in the accept queue, and closes the socket right after the queue was empty, so
+     * that no queued connection is reset.
      *
      * @param onClosed runs on the I/O thread when the socket is closed
      */
@@ -238,20 +229,19 @@
     }
 
     private void closeGracefully(long deadlineNanos, Runnable onClosed) {
-        // A channel that is still registered would be closed only when the thread looks at its sockets the next time.
+        // A channel that is still registered would only be closed at the thread's next poll of its sockets.
         boolean deadlinePassed = timers.now() >= deadlineNanos;
         AcceptResult result = channel.isRegistered() ? AcceptResult.BATCH_COMPLETE : accept(limits.backlog());
         if (result == AcceptResult.QUEUE_EMPTY || deadlinePassed) {
             close();
             onClosed.run();
         } else {
-            timers.schedule(
-                    result == AcceptResult.BATCH_COMPLETE ? 1 : ACCEPT_RETRY_DELAY_NANOS,
-                    () -> closeGracefully(deadlineNanos, onClosed));
+            long delayNanos = result == AcceptResult.BATCH_COMPLETE ? NEXT_POLL_NANOS : ACCEPT_RETRY_DELAY_NANOS;
+            timers.schedule(delayNanos, () -> closeGracefully(deadlineNanos, onClosed));
         }
     }
 
-    /** Closes at once, over whoever waits. */
+    /** Closes at once. Connections that wait in the accept queue are reset. */
     @Override
     public void close() {
         closing = true;
--- a/node/src/main/java/fawnlb/client/ListenerGroup.java
+++ b/node/src/main/java/fawnlb/client/ListenerGroup.java
@@ -6,24 +6,25 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Executor;
 
-/** The sockets on which a node accepts its clients. */
+/** All listeners of this process. Belongs to the thread that starts and stops the server. */
 public final class ListenerGroup {
     private final List<Listener> listeners = new ArrayList<>();
 
+    /** Adds a started listener. */
     public void add(Listener listener) {
         listeners.add(listener);
     }
 
-    /** Where they listen, in the order in which they were added. */
+    /** The address of a listener, by the order in which the listeners were added. */
     public InetSocketAddress addressAt(int index) {
         return listeners.get(index).address();
     }
 
     /**
-     * Accepts whoever has connected and then nobody any more; returns when all sockets are closed and who was accepted
-     * has been handed on.
+     * Accepts the connections that wait in the accept queues, and closes the sockets. Returns when all sockets are
+     * closed and all accepted connections were passed to their handlers.
      *
-     * @param ioThread runs tasks on the I/O thread
+     * @param ioThread runs tasks on the I/O thread of the listeners
      */
     public void closeGracefully(Executor ioThread) throws InterruptedException {
         CountDownLatch openListeners = new CountDownLatch(listeners.size());
@@ -33,7 +34,7 @@
         openListeners.await();
     }
 
-    /** Closes over whoever waits to be accepted. */
+    /** Closes all sockets at once. Connections that wait in the accept queues are reset. */
     public void closeNow() {
         listeners.forEach(Listener::close);
     }
--- a/node/src/main/java/fawnlb/client/RetryAfterHeader.java
+++ b/node/src/main/java/fawnlb/client/RetryAfterHeader.java
@@ -2,12 +2,18 @@
 
 import java.math.BigDecimal;
 
-/** The value of a {@code Retry-After} header: seconds, as short as they can be written. */
+/** Formats the header {@code Retry-After}: in seconds, with a fraction where the delay has one. */
 public final class RetryAfterHeader {
+    private static final long NANOS_PER_MILLISECOND = 1_000_000;
+    private static final int DECIMALS_OF_MILLISECONDS = 3;
+
     private RetryAfterHeader() {}
 
+    /** Formats a delay in nanoseconds, rounded down to milliseconds but at least one millisecond. */
     public static String formatSeconds(long delayNanos) {
-        long millis = Math.max(1, delayNanos / 1_000_000);
-        return BigDecimal.valueOf(millis, 3).stripTrailingZeros().toPlainString();
+        long millis = Math.max(1, delayNanos / NANOS_PER_MILLISECOND);
+        return BigDecimal.valueOf(millis, DECIMALS_OF_MILLISECONDS)
+                .stripTrailingZeros()
+                .toPlainString();
     }
 }
--- a/node/src/main/java/fawnlb/http/HttpClientConnection.java
+++ b/node/src/main/java/fawnlb/http/HttpClientConnection.java
@@ -195,7 +195,7 @@
             return;
         }
         ResponseHandler handler = responseHandler;
-        UncaughtErrorHandler.run(this::readResponse, "an answer could not be taken", () -> {
+        UncaughtErrorHandler.run(this::readResponse, "response handler failed", () -> {
             close();
             if (handler != null) {
                 handler.onFailure(CallFailure.MALFORMED_RESPONSE);
--- a/node/src/main/java/fawnlb/http/RequestBodyReceiver.java
+++ b/node/src/main/java/fawnlb/http/RequestBodyReceiver.java
@@ -104,7 +104,7 @@
     }
 
     private void onReadable() {
-        UncaughtErrorHandler.run(this::readAvailable, "a request could not be taken", () -> {
+        UncaughtErrorHandler.run(this::readAvailable, "request body handler failed", () -> {
             stopReading();
             onRejected.reject(exchange, StatusCodes.INTERNAL_SERVER_ERROR, "failed");
         });
--- a/node/src/main/java/org/xnio/nio/ListeningSocket.java
+++ b/node/src/main/java/org/xnio/nio/ListeningSocket.java
@@ -11,10 +11,12 @@
 /**
  * A listening socket on an I/O thread, and the connections accepted from it.
  *
- * <p>XNIO's own server accepts on a thread of its own, and after a failed accept it waits for 250 ms, then 1 s, 4 s and
- * longer; neither can be set. It has no public way to make a {@link StreamConnection} of an accepted socket, so this
- * class stands in its package. It holds no policy: when to accept is up to {@code fawnlb.client.Listener}. All methods
- * belong to the I/O thread, but for {@link #register}.
+ * <p>XNIO's own server accepts on a thread of its own. After a failed accept it waits for 250 ms, then 1 s, 4 s and
+ * longer, and neither the thread nor the delays can be configured. XNIO has no public way to create a
+ * {@link StreamConnection} from an accepted socket, so this class is in XNIO's package. When to accept is decided by
+ * {@code fawnlb.client.Listener}.
+ *
+ * <p>All methods but {@link #register} must be called on the I/O thread.
  */
 public final class ListeningSocket extends NioHandle {
     private final ServerSocketChannel channel;
@@ -27,9 +29,11 @@
     }
 
     /**
-     * Hands a bound, non-blocking channel to an I/O thread; it is not listened to before {@link #resumeAccepts}.
+     * Registers a bound, non-blocking channel with an I/O thread. No connection is accepted before
+     * {@link #resumeAccepts}. May be called on any thread.
      *
-     * @param onAcceptable runs on the I/O thread whenever somebody waits to be accepted and accepts are resumed
+     * @param onAcceptable runs on the I/O thread while a connection waits in the accept queue, unless accepts are
+     *     suspended
      */
     public static ListeningSocket register(XnioIoThread thread, ServerSocketChannel channel, Runnable onAcceptable)
             throws IOException {
@@ -40,23 +44,23 @@
         return socket;
     }
 
-    /** From here on the I/O thread says when somebody waits. */
+    /** Starts to report connections that wait in the accept queue. */
     public void resumeAccepts() {
         resume(SelectionKey.OP_ACCEPT);
     }
 
-    /** Whoever connects waits in the kernel's queue. */
+    /** Stops to report them. New connections wait in the accept queue. */
     public void suspendAccepts() {
         suspend(SelectionKey.OP_ACCEPT);
     }
 
-    /** Takes the socket off the I/O thread. It stays registered until the thread has looked at its sockets again. */
+    /** Removes the socket from the I/O thread. It stays registered until the thread's next poll of its sockets. */
     public void deregister() {
         getSelectionKey().cancel();
     }
 
     /**
-     * Makes a connection of the I/O thread's of an accepted, non-blocking socket.
+     * Creates a connection on the I/O thread from an accepted, non-blocking socket.
      *
      * @param onClosed runs once when the connection has closed
      */
@@ -79,6 +83,6 @@
 
     @Override
     void terminated() {
-        // Nobody waits for it.
+        // Nothing waits for the end of a listening socket.
     }
 }
