--- a/node/src/main/java/fawnlb/filter/EndpointFilterChain.java
+++ b/node/src/main/java/fawnlb/filter/EndpointFilterChain.java
@@ -42,23 +42,44 @@
 
     @Override
     public void onEvent(long now, LoadBalancerEvent event) {
-        if (event instanceof TimerFired timer && timer.token() < 0) {
-            int filterIndex = -1 - timer.token();
-            timerDueAt[filterIndex] = EndpointFilter.NEVER;
-            if (filters.get(filterIndex).nextWakeupAt() <= now) {
-                passFrom(now, filterIndex + 1, filters.get(filterIndex).onWakeup(now));
-            }
+        if (event instanceof TimerFired timer && isFilterToken(timer.token())) {
+            wakeUp(now, filterIndex(timer.token()));
         } else if (event instanceof EndpointsUpdated update) {
             passFrom(now, 0, update);
         } else {
-            for (int filterIndex = 0; filterIndex < filters.size(); filterIndex++) {
-                passFrom(now, filterIndex + 1, filters.get(filterIndex).onEvent(now, event));
-            }
+            showToFilters(now, event);
             loadBalancer.onEvent(now, event);
         }
         setTimers(now);
     }
 
+    private static boolean isFilterToken(int token) {
+        return token < 0;
+    }
+
+    private static int filterIndex(int token) {
+        return -1 - token;
+    }
+
+    private static int timerToken(int filterIndex) {
+        return -1 - filterIndex;
+    }
+
+    private void wakeUp(long now, int filterIndex) {
+        EndpointFilter filter = filters.get(filterIndex);
+        timerDueAt[filterIndex] = EndpointFilter.NEVER;
+        if (filter.nextWakeupAt() <= now) {
+            passFrom(now, filterIndex + 1, filter.onWakeup(now));
+        }
+    }
+
+    private void showToFilters(long now, LoadBalancerEvent event) {
+        for (int filterIndex = 0; filterIndex < filters.size(); filterIndex++) {
+            passFrom(now, filterIndex + 1, filters.get(filterIndex).onEvent(now, event));
+        }
+    }
+
+    /** Passes an update through the filters from this one on, and to the load balancer if any is left. */
     private void passFrom(long now, int firstFilter, EndpointsUpdated update) {
         EndpointsUpdated filtered = update;
         for (int filterIndex = firstFilter; filterIndex < filters.size() && filtered != null; filterIndex++) {
@@ -78,7 +99,7 @@
             long wakeupAt = filters.get(filterIndex).nextWakeupAt();
             if (wakeupAt < timerDueAt[filterIndex]) {
                 timerDueAt[filterIndex] = Math.max(wakeupAt, now);
-                actionSink.perform(new SetTimer(timerDueAt[filterIndex], -1 - filterIndex));
+                actionSink.perform(new SetTimer(timerDueAt[filterIndex], timerToken(filterIndex)));
             }
         }
     }
