--- a/node/src/main/java/fawnlb/discovery/DiscoveryCall.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryCall.java
@@ -1,6 +1,7 @@
 package fawnlb.discovery;
 
 import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
 import fawnlb.http.HttpClientConnection;
@@ -16,6 +17,7 @@
  * One HTTP call to discovery on a connection of its own: connect, request, response, timeout and failure. A call fails
  * at most once; it is then closed, counted and logged, and the listener learns of it. All of it runs on the I/O thread.
  */
+@EventLoopOnly
 abstract class DiscoveryCall implements HttpClientConnection.ResponseHandler {
     /** Enough for some 20,000 endpoints. */
     private static final int MAX_LIST_BYTES = 4 << 20;
--- a/node/src/main/java/fawnlb/discovery/DiscoveryClient.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryClient.java
@@ -1,6 +1,7 @@
 package fawnlb.discovery;
 
 import fawnlb.eventloop.Mailbox;
+import fawnlb.eventloop.ThreadSafe;
 import fawnlb.eventloop.Timers;
 import fawnlb.metrics.LogLine;
 import fawnlb.proxy.EndpointWatch;
@@ -15,6 +16,7 @@
  *
  * <p>Its methods may be called from any thread; the work is done on the I/O thread, in the order of the calls.
  */
+@ThreadSafe
 public final class DiscoveryClient implements EndpointWatch {
     private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
 
--- a/node/src/main/java/fawnlb/discovery/DiscoveryFailureLog.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryFailureLog.java
@@ -1,5 +1,6 @@
 package fawnlb.discovery;
 
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Timers;
 import fawnlb.metrics.LogLine;
 import java.util.logging.Logger;
@@ -9,6 +10,7 @@
  * same way, and a line for each would hide all others: equal failures are one line in ten seconds, with the number of
  * those left out.
  */
+@EventLoopOnly
 final class DiscoveryFailureLog {
     private static final Logger LOG = Logger.getLogger(DiscoveryFailureLog.class.getName());
     private static final long FAILURE_LOG_INTERVAL_NANOS = 10_000_000_000L;
--- a/node/src/main/java/fawnlb/discovery/EndpointListReceiver.java
+++ b/node/src/main/java/fawnlb/discovery/EndpointListReceiver.java
@@ -2,11 +2,13 @@
 
 import fawnlb.decision.EndpointUpdateKind;
 import fawnlb.discovery.EndpointListFormatException.Reason;
+import fawnlb.eventloop.EventLoopOnly;
 
 /**
  * Decides what a list that has come in means for the list that is held, and hands it to the listener. It keeps the
  * revision from which the next watch starts. It belongs to the I/O thread of the {@link DiscoveryClient}.
  */
+@EventLoopOnly
 final class EndpointListReceiver {
     private final DiscoveryListener listener;
     private long revision;
--- a/node/src/main/java/fawnlb/discovery/EndpointStartTimes.java
+++ b/node/src/main/java/fawnlb/discovery/EndpointStartTimes.java
@@ -1,6 +1,7 @@
 package fawnlb.discovery;
 
 import fawnlb.decision.EndpointPhase;
+import fawnlb.eventloop.EventLoopOnly;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -17,6 +18,7 @@
  *
  * <p>Times are nanoseconds on the instance's clock. It belongs to one thread.
  */
+@EventLoopOnly
 public final class EndpointStartTimes {
     private static final long NANOS_PER_MILLISECOND = 1_000_000;
     private static final long NEVER = Long.MIN_VALUE;
--- a/node/src/main/java/fawnlb/snapshot/SnapshotRecorder.java
+++ b/node/src/main/java/fawnlb/snapshot/SnapshotRecorder.java
@@ -8,6 +8,7 @@
 import fawnlb.discovery.DiscoveredEndpoint;
 import fawnlb.discovery.EndpointList;
 import fawnlb.eventloop.Mailbox;
+import fawnlb.eventloop.ThreadSafe;
 import fawnlb.eventloop.Timers;
 import fawnlb.filter.EndpointFilter;
 import fawnlb.snapshot.Snapshot.Entry;
@@ -22,6 +23,7 @@
  * filter it changes nothing. Its public methods may be called from any thread; the work is done on the thread of its
  * mailbox.
  */
+@ThreadSafe
 public final class SnapshotRecorder implements EndpointFilter {
     private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
