--- a/lab/src/main/java/fawnlb/lab/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/fawnlb/lab/discovery/DiscoveryServer.java
@@ -73,7 +73,7 @@
         return serversByNode.get(node).address();
     }
 
-    /** Changes the list by these endpoints; one whose phase is GONE is removed. */
+    /** Changes these endpoints of the endpoint list; one whose phase is GONE is removed. */
     public void applyChanges(DiscoveredEndpoint... changed) {
         List<DiscoveredEndpoint> changes = List.of(changed);
         history.apply(changes);
@@ -81,7 +81,7 @@
         timers.schedule(notificationDelayNanos, () -> sendToWatches(event, changes));
     }
 
-    /** Replaces the list and its revision without notifying watches, as a service that has lost its state. */
+    /** Replaces the endpoint list and its revision without notifying watches, as a service that has lost its state. */
     public void replaceList(long newRevision, List<DiscoveredEndpoint> list) {
         history.replace(newRevision, list);
     }
--- a/lab/src/main/java/fawnlb/lab/discovery/EndpointHistory.java
+++ b/lab/src/main/java/fawnlb/lab/discovery/EndpointHistory.java
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Replaces the list and forgets all changes, as a service that has lost its state. */
+    /** Replaces the endpoint list and forgets all changes, as a service that has lost its state. */
     void replace(long newRevision, List<DiscoveredEndpoint> list) {
         endpoints.clear();
         changes.clear();
--- a/lab/src/main/java/fawnlb/lab/engine/CompletionRequest.java
+++ b/lab/src/main/java/fawnlb/lab/engine/CompletionRequest.java
@@ -12,7 +12,7 @@
  * be. Where the query is lost because the node translates the request to another API format, the answer has the largest
  * length that the body permits.
  *
- * @param prefix cache key of the shared beginning of the prompt; 0 for none
+ * @param prefix cache key of the prompt prefix that other sessions share; 0 for none
  * @param paddingBytes bytes by which each event is enlarged
  * @param timeoutNanos time left for the first event according to the node; 0 if it did not say
  */
--- a/lab/src/main/java/fawnlb/lab/engine/EngineServer.java
+++ b/lab/src/main/java/fawnlb/lab/engine/EngineServer.java
@@ -124,7 +124,7 @@
         faultSelector = selector;
     }
 
-    /** Sets who is told in how many nanoseconds after an injected fault the node closed the connection. */
+    /** Sets the listener of the times from an injected fault to the close of its connection by the node. */
     public void setDetectionListener(LongConsumer listener) {
         detectionListener = listener;
     }
--- a/lab/src/main/java/fawnlb/lab/engine/Sequence.java
+++ b/lab/src/main/java/fawnlb/lab/engine/Sequence.java
@@ -16,8 +16,8 @@
      * Creates a sequence that has not been offered to an engine yet.
      *
      * @param session cache key of the conversation
-     * @param prefix cache key of the prompt's beginning that other sessions share; 0 for none
-     * @param prefixTokens length of that shared beginning
+     * @param prefix cache key of the prompt prefix that other sessions share; 0 for none
+     * @param prefixTokens length of that prefix
      * @param outputTokens tokens to generate; at least one is generated
      */
     public Sequence(
--- a/lab/src/main/java/fawnlb/lab/load/ArrivalPlan.java
+++ b/lab/src/main/java/fawnlb/lab/load/ArrivalPlan.java
@@ -24,9 +24,9 @@
 
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double MEAN_TURNS_PER_SESSION = 2.6;
-    /** Sessions are drawn from so long before the start, so that some are in their later turns by then. */
+    /** Sessions begin up to this time before the start, so that some are in their later turns by then. */
     private static final double LEAD_SECONDS = 30;
-    /** Shared beginnings of prompts, such as system prompts, used as often as a Zipf distribution says. */
+    /** Prompt prefixes that sessions share, such as system prompts; a Zipf distribution says how often each is used. */
     private static final int PREFIX_COUNT = 24;
 
     private static final double PREFIX_EXPONENT = 0.9;
@@ -65,7 +65,7 @@
      * One request of a session. All lengths are in tokens.
      *
      * @param startNanos time from the start of the run
-     * @param prefix key of the shared beginning of the prompt; 0 for none
+     * @param prefix key of the prompt prefix that other sessions share; 0 for none
      * @param timeoutMillis how long an attempt waits for the first token
      * @param retryDelayMillis time between attempts if the response has no Retry-After
      */
--- a/lab/src/main/java/fawnlb/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/fawnlb/lab/load/LoadGenerator.java
@@ -15,7 +15,7 @@
  * Retry-After. Everything runs on one I/O thread; {@link #start} is to be called on it.
  */
 public final class LoadGenerator {
-    /** Of the sessions, one in so many is non-idempotent if such requests are included. */
+    /** Every third session is non-idempotent if such requests are included. */
     private static final int NON_IDEMPOTENT_INTERVAL = 3;
 
     private final Timers timers;
--- a/lab/src/main/java/fawnlb/lab/net/HttpExchange.java
+++ b/lab/src/main/java/fawnlb/lab/net/HttpExchange.java
@@ -12,8 +12,8 @@
 import org.xnio.XnioExecutor;
 
 /**
- * A connection of an {@link HttpServer} and the request on it. Whoever handles the request writes the response's bytes,
- * head included. All methods are called on the server's I/O thread.
+ * A connection of an {@link HttpServer} and the request on it. The handler of the request writes the bytes of the
+ * response, head included. All methods are called on the server's I/O thread.
  */
 public final class HttpExchange {
     private final StreamConnection channel;
--- a/lab/src/main/java/fawnlb/lab/rules/RuleChecker.java
+++ b/lab/src/main/java/fawnlb/lab/rules/RuleChecker.java
@@ -10,12 +10,12 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Checks what crossed the sockets against the {@link Rule}s. It is told what clients, backends and the discovery
- * service have sent and received, and nothing by a node. Times are nanoseconds on one clock. Instances are thread-safe.
+ * Checks what crossed the sockets against the {@link Rule}s. Clients, backends and the discovery service report what
+ * they have sent and received; nodes report nothing. Times are nanoseconds on one clock. Instances are thread-safe.
  */
 public final class RuleChecker {
     /**
-     * The end of one attempt and the beginning of the next travel on two connections. The backends may read them in the
+     * The end of one attempt and the start of the next travel on two connections. The backends may read them in the
      * opposite order within this time.
      */
     private static final long EVENT_ORDER_TOLERANCE_NANOS = 50_000_000;
--- a/lab/src/main/java/fawnlb/lab/scenario/FalseDetections.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/FalseDetections.java
@@ -24,7 +24,7 @@
     private static final long NANOS_PER_SECOND = 1_000_000_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long PAUSE_NANOS = 3 * NANOS_PER_SECOND;
-    /** One step in so many pauses. */
+    /** On average one step in 1500 pauses. */
     private static final int PAUSE_INTERVAL_STEPS = 1500;
     /** Median of the log-normal delay of a step. */
     private static final double MEDIAN_DELAY_NANOS = 4e6;
--- a/lab/src/main/java/fawnlb/lab/scenario/StartWithoutDiscovery.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/StartWithoutDiscovery.java
@@ -23,7 +23,7 @@
 import org.apache.commons.math3.random.Well19937c;
 
 /**
- * Three nodes start while discovery is down. The list that they restore names 14 backends: of these two refuse
+ * Three nodes start while discovery is down. The endpoint list that they restore has 14 backends: of these two refuse
  * connections, one is unreachable, two drain, one has been replaced at its address, two have just started, and six are
  * as they were. Five new backends are known to discovery alone, which comes back having lost its state.
  */
--- a/lab/src/main/java/fawnlb/lab/soak/BackendFaults.java
+++ b/lab/src/main/java/fawnlb/lab/soak/BackendFaults.java
@@ -19,7 +19,7 @@
     private static final int REPLACEMENT_DELAY_MILLIS = 300;
     /** Numbers of the ids of replaced backends begin here, above those of the first ones. */
     private static final int FIRST_REPLACEMENT_NUMBER = 1000;
-    /** One response in so many has a fault, within its first bytes. */
+    /** A third of the responses has a fault, within the first bytes. */
     private static final int CORRUPTION_INTERVAL = 3;
 
     private static final int MAX_FAULT_OFFSET = 900;
@@ -59,7 +59,7 @@
         });
     }
 
-    /** Drains a backend, removes it from the list, and lists another one at its address. */
+    /** Drains a backend, removes it from the endpoint list, and lists another one at its address. */
     void replace(EngineServer backend, int durationMillis) throws IOException, InterruptedException {
         targets.runExclusively(backend, target -> {
             testbed.runOnBackends(() -> announce(target, EndpointPhase.DRAINING));
--- a/lab/src/main/java/fawnlb/lab/soak/ExclusiveTargets.java
+++ b/lab/src/main/java/fawnlb/lab/soak/ExclusiveTargets.java
@@ -11,11 +11,11 @@
     /** An operation on a node or a backend. */
     @FunctionalInterface
     interface Operation<T> {
-        /** Applies the operation to the target. */
+        /** Applies the operation to this node or backend. */
         void apply(T target) throws IOException, InterruptedException;
     }
 
-    /** Applies the operation, unless another one is being applied to the same target. */
+    /** Applies the operation, unless another one is being applied to the same node or backend. */
     <T> void runExclusively(T target, Operation<T> operation) throws IOException, InterruptedException {
         if (!acquire(target)) {
             return;
--- a/lab/src/main/java/fawnlb/lab/soak/InjectedFault.java
+++ b/lab/src/main/java/fawnlb/lab/soak/InjectedFault.java
@@ -28,7 +28,7 @@
     BACKEND_CRASH,
     /** A backend can't be reached and restarts. */
     BACKEND_UNREACHABLE,
-    /** A backend drains, leaves the list, and another one comes at its address. */
+    /** A backend drains, is removed from discovery, and another one comes at its address. */
     BACKEND_REPLACEMENT,
     /** A backend becomes faster or slower for a while. */
     BACKEND_SLOWDOWN,
--- a/lab/src/main/java/fawnlb/lab/soak/NodeFaults.java
+++ b/lab/src/main/java/fawnlb/lab/soak/NodeFaults.java
@@ -20,7 +20,7 @@
     private static final long READY_TIMEOUT_MILLIS = 10_000;
     private static final long READY_POLL_MILLIS = 50;
     private static final long RESTART_DELAY_MILLIS = 200;
-    /** While reads and writes fail: one call in so many, for so long, and the time until the effects are over. */
+    /** Failing reads and writes: one call in 40, for 0.4 s, and the time until their effects are over. */
     private static final int FAILED_TRANSFER_INTERVAL = 40;
 
     private static final int FAILED_TRANSFERS_MILLIS = 400;
--- a/lab/src/main/java/fawnlb/lab/soak/SoakFaults.java
+++ b/lab/src/main/java/fawnlb/lab/soak/SoakFaults.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 
 /**
- * Injects the faults of a soak. A number, the selector, determines the target of a fault and its details, so that a
+ * Injects the faults of a soak. A number, the selector, determines where a fault is injected and its details, so that a
  * seed always gives the same faults. Thread-safe.
  */
 final class SoakFaults {
--- a/lab/src/main/java/fawnlb/lab/testbed/EmulatedEndpoints.java
+++ b/lab/src/main/java/fawnlb/lab/testbed/EmulatedEndpoints.java
@@ -22,7 +22,7 @@
         return String.format("s-%08x", 0x5eed0000 + number * 7919);
     }
 
-    /** Returns backends in this phase that started so long ago that they have passed their slow start. */
+    /** Returns backends in this phase that have passed their slow start. */
     public static List<DiscoveredEndpoint> of(List<EngineServer> backends, EndpointPhase phase) {
         return backends.stream().map(backend -> of(backend, phase, 0)).toList();
     }
