--- a/lab/src/main/resources/fawnlb/lab/shim/faults.c
+++ b/lab/src/main/resources/fawnlb/lab/shim/faults.c
@@ -18,10 +18,16 @@
 #include <unistd.h>
 
 #define WORDS 64
-/* Each call has four words from CALLS on: its errno (0: it works), one of how many fails, how many have failed, all calls. */
-#define CALLS 8
+/* Each system call has a block of words, beginning with this one. */
+#define FIRST_CALL_WORD 8
+#define WORDS_PER_CALL 4
 
 enum { WALL_OFFSET_NS = 0, MAX_READ = 1, MAX_WRITE = 2 };
+/*
+ * Words of a block: the errno of failing calls (0: none fails); of how many calls one fails, or minus the number of the
+ * next calls that fail; failures so far; all calls while some fail.
+ */
+enum { ERRNO = 0, INTERVAL = 1, FAILURES = 2, TOTAL = 3 };
 enum { ACCEPT, CONNECT, SOCKET, READ, WRITE, FSYNC, FILE_WRITE };
 
 static volatile int64_t *words;
@@ -44,28 +50,36 @@
     return words == NULL ? none : words;
 }
 
-/* Whether this call is to fail; errno is set then. */
+static volatile int64_t *block(int call) {
+    return control() + FIRST_CALL_WORD + WORDS_PER_CALL * call;
+}
+
+static int may_fail(int call) {
+    return block(call)[ERRNO] != 0;
+}
+
+/* Counts a call and returns whether it is to fail; errno is set then. */
 static int fails(int call) {
-    volatile int64_t *at = control() + CALLS + 4 * call;
-    if (at[0] == 0) {
+    volatile int64_t *at = block(call);
+    if (at[ERRNO] == 0) {
         return 0;
     }
-    if (at[1] < 0) {
-        /* So many more, and then none. */
-        if (__atomic_add_fetch(&at[1], 1, __ATOMIC_RELAXED) == 0) {
-            errno = (int) __atomic_exchange_n(&at[0], 0, __ATOMIC_RELAXED);
+    if (at[INTERVAL] < 0) {
+        /* The last of the next calls that fail clears the errno. */
+        if (__atomic_add_fetch(&at[INTERVAL], 1, __ATOMIC_RELAXED) == 0) {
+            errno = (int) __atomic_exchange_n(&at[ERRNO], 0, __ATOMIC_RELAXED);
         } else {
-            errno = (int) at[0];
+            errno = (int) at[ERRNO];
         }
-        __atomic_add_fetch(&at[2], 1, __ATOMIC_RELAXED);
+        __atomic_add_fetch(&at[FAILURES], 1, __ATOMIC_RELAXED);
         return 1;
     }
-    int64_t one_in = at[1] < 1 ? 1 : at[1];
-    if (__atomic_add_fetch(&at[3], 1, __ATOMIC_RELAXED) % one_in != 0) {
+    int64_t interval = at[INTERVAL] < 1 ? 1 : at[INTERVAL];
+    if (__atomic_add_fetch(&at[TOTAL], 1, __ATOMIC_RELAXED) % interval != 0) {
         return 0;
     }
-    __atomic_add_fetch(&at[2], 1, __ATOMIC_RELAXED);
-    errno = (int) at[0];
+    __atomic_add_fetch(&at[FAILURES], 1, __ATOMIC_RELAXED);
+    errno = (int) at[ERRNO];
     return 1;
 }
 
@@ -130,28 +144,28 @@
 
 ssize_t read(int fd, void *into, size_t count) {
     REAL(read);
-    if (control()[CALLS + 4 * READ] != 0 && is_socket(fd) && fails(READ)) {
+    if (may_fail(READ) && is_socket(fd) && fails(READ)) {
         return -1;
     }
-    int64_t most = control()[MAX_READ];
-    return real(fd, into, most > 0 && (int64_t) count > most && is_socket(fd) ? (size_t) most : count);
+    int64_t max_bytes = control()[MAX_READ];
+    return real(fd, into, max_bytes > 0 && (int64_t) count > max_bytes && is_socket(fd) ? (size_t) max_bytes : count);
 }
 
 ssize_t write(int fd, const void *from, size_t count) {
     REAL(write);
-    if (control()[CALLS + 4 * WRITE] != 0 && is_socket(fd) && fails(WRITE)) {
+    if (may_fail(WRITE) && is_socket(fd) && fails(WRITE)) {
         return -1;
     }
-    if (control()[CALLS + 4 * FILE_WRITE] != 0 && fd > 2 && !is_socket(fd) && fails(FILE_WRITE)) {
+    if (may_fail(FILE_WRITE) && fd > 2 && !is_socket(fd) && fails(FILE_WRITE)) {
         return -1;
     }
-    int64_t most = control()[MAX_WRITE];
-    return real(fd, from, most > 0 && (int64_t) count > most && is_socket(fd) ? (size_t) most : count);
+    int64_t max_bytes = control()[MAX_WRITE];
+    return real(fd, from, max_bytes > 0 && (int64_t) count > max_bytes && is_socket(fd) ? (size_t) max_bytes : count);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     REAL(writev);
-    if (control()[CALLS + 4 * WRITE] != 0 && is_socket(fd) && fails(WRITE)) {
+    if (may_fail(WRITE) && is_socket(fd) && fails(WRITE)) {
         return -1;
     }
     if (control()[MAX_WRITE] > 0 && count > 0 && is_socket(fd)) {
