--- a/node/src/main/java/fawnlb/backend/AttemptReporter.java
+++ b/node/src/main/java/fawnlb/backend/AttemptReporter.java
@@ -2,8 +2,8 @@
 
 import fawnlb.http.ResponseHead;
 import fawnlb.metrics.LogLine;
+import fawnlb.metrics.Metric;
 import fawnlb.metrics.Metrics;
-import fawnlb.metrics.Metrics.Metric;
 import fawnlb.proxy.Backends;
 import fawnlb.proxy.ResponseSource;
 import fawnlb.stream.AttemptEnd;
--- a/node/src/main/java/fawnlb/backend/BackendExchange.java
+++ b/node/src/main/java/fawnlb/backend/BackendExchange.java
@@ -2,8 +2,8 @@
 
 import fawnlb.http.HttpClientConnection;
 import fawnlb.metrics.LogLine;
+import fawnlb.metrics.Metric;
 import fawnlb.metrics.Metrics;
-import fawnlb.metrics.Metrics.Metric;
 import fawnlb.stream.EndReason;
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/node/src/main/java/fawnlb/backend/SendObstacle.java
+++ b/node/src/main/java/fawnlb/backend/SendObstacle.java
@@ -1,7 +1,7 @@
 package fawnlb.backend;
 
+import fawnlb.metrics.Metric;
 import fawnlb.metrics.Metrics;
-import fawnlb.metrics.Metrics.Metric;
 
 /** Why a request that the load balancer has decided to send is not written. Each is a label of one metric. */
 enum SendObstacle {
--- a/node/src/main/java/fawnlb/discovery/WatchCall.java
+++ b/node/src/main/java/fawnlb/discovery/WatchCall.java
@@ -1,8 +1,8 @@
 package fawnlb.discovery;
 
 import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.metrics.Metric;
 import fawnlb.metrics.Metrics;
-import fawnlb.metrics.Metrics.Metric;
 import java.net.InetSocketAddress;
 
 /**
--- a/node/src/main/java/fawnlb/eventloop/Mailbox.java
+++ b/node/src/main/java/fawnlb/eventloop/Mailbox.java
@@ -1,7 +1,7 @@
 package fawnlb.eventloop;
 
+import fawnlb.metrics.Metric;
 import fawnlb.metrics.Metrics;
-import fawnlb.metrics.Metrics.Metric;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.Executor;
 import java.util.concurrent.atomic.AtomicBoolean;
--- /dev/null
+++ b/node/src/main/java/fawnlb/metrics/Metric.java
@@ -0,0 +1,69 @@
+package fawnlb.metrics;
+
+/**
+ * The registry of everything that the process counts: each metric's series, type, label and meaning. The operators'
+ * page {@code docs/operations/metrics.md} has the same table; a test compares the two.
+ *
+ * <p>The names of series and labels are read by dashboards and alerts: a new name needs the old series beside it for
+ * one release.
+ */
+public enum Metric {
+    REQUESTS("fawnlb_requests_total", "end", "Requests, by what their client got in the end"),
+    ATTEMPTS("fawnlb_attempts_total", "end", "Attempts at backends, by how they ended"),
+    SENDS_PREVENTED(
+            "fawnlb_sends_prevented_total",
+            "reason",
+            "Attempts that were decided on and not sent, by what prevented it"),
+    CLIENT_CONNECTIONS_CLOSED(
+            "fawnlb_client_connections_closed_total",
+            "reason",
+            "Client connections that the load balancer closed, by why"),
+    ACCEPT_FAILURES("fawnlb_accept_failures_total", "kind", "Client connections that could not be accepted"),
+    LOCAL_CONNECT_FAILURES(
+            "fawnlb_local_connect_failures_total",
+            "kind",
+            "Connects to backends that failed for a reason of this machine"),
+    DISCOVERY_CALLS("fawnlb_discovery_calls_total", "result", "Calls to the discovery service, by how they went"),
+    MESSAGES_DROPPED("fawnlb_messages_dropped_total", "kind", "Internal messages that a full mailbox did not take"),
+    INVARIANT_VIOLATIONS(
+            "fawnlb_invariant_violations_total",
+            "invariant",
+            "Violated invariants; each is a bug of the load balancer");
+
+    /** How a metric behaves over time, in Prometheus' terms. */
+    public enum Type {
+        /** Only ever goes up, from 0 at the start of the process. */
+        COUNTER
+    }
+
+    private final String seriesName;
+    private final Type type;
+    private final String labelName;
+    private final String help;
+
+    Metric(String seriesName, String labelName, String help) {
+        this.seriesName = seriesName;
+        this.type = Type.COUNTER;
+        this.labelName = labelName;
+        this.help = help;
+    }
+
+    /** The name of the series in Prometheus' text format. */
+    public String seriesName() {
+        return seriesName;
+    }
+
+    public Type type() {
+        return type;
+    }
+
+    /** The name of the metric's one label. */
+    public String labelName() {
+        return labelName;
+    }
+
+    /** What is counted, in one sentence. */
+    public String help() {
+        return help;
+    }
+}
--- a/node/src/main/java/fawnlb/metrics/package-info.java
+++ b/node/src/main/java/fawnlb/metrics/package-info.java
@@ -1,4 +1,8 @@
 /**
- * Counts of what the process did and why, and of broken invariants. No I/O and no dependencies; safe for all threads.
+ * What the process counts and logs: the registry of metrics, their counters, the invariants that are checked at run
+ * time, and the form of log lines.
+ *
+ * <p>Every other package may call it, from any thread. It does no I/O but through {@code java.util.logging}, and
+ * depends on no other package.
  */
 package fawnlb.metrics;
--- a/node/src/test/java/fawnlb/backend/SendGuardTest.java
+++ b/node/src/test/java/fawnlb/backend/SendGuardTest.java
@@ -8,8 +8,8 @@
 import static org.junit.Assert.assertTrue;
 
 import fawnlb.decision.EndpointPhase;
+import fawnlb.metrics.Metric;
 import fawnlb.metrics.Metrics;
-import fawnlb.metrics.Metrics.Metric;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
--- a/node/src/test/java/fawnlb/proxy/RequestProxyTest.java
+++ b/node/src/test/java/fawnlb/proxy/RequestProxyTest.java
@@ -16,6 +16,7 @@
 import fawnlb.decision.LoadBalancerEvent.AttemptEnded;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
+import fawnlb.metrics.Metric;
 import fawnlb.metrics.Metrics;
 import fawnlb.stream.AttemptEnd;
 import fawnlb.stream.EndReason;
@@ -422,14 +423,14 @@
 
     @Test
     public void forbiddenRejectionOfPossiblyExecutedRequestIsAnsweredAsFailure() {
-        long violations = Metrics.value(Metrics.Metric.INVARIANT_VIOLATIONS, "repeated_as_effect_allows");
+        long violations = Metrics.value(Metric.INVARIANT_VIOLATIONS, "repeated_as_effect_allows");
         proxy = createProxy("profiles.count=1\nprofiles.0.effect=unsafe");
         submit();
         actions.perform(new StartAttempt(1, 7, 0));
         attemptListeners.get(0).onAttemptEnded(AttemptEnd.of(EndReason.CONNECTION_LOST), 0, List.of());
         actions.perform(new LoadBalancerAction.RejectRequest(1, 5));
         assertTrue(observed.toString(), observed.get(observed.size() - 1).startsWith("failed"));
-        assertEquals(violations + 1, Metrics.value(Metrics.Metric.INVARIANT_VIOLATIONS, "repeated_as_effect_allows"));
+        assertEquals(violations + 1, Metrics.value(Metric.INVARIANT_VIOLATIONS, "repeated_as_effect_allows"));
     }
 
     /** The process is killed 3.7 s after it was told to end, whatever the servers do that hang all the while. */
