--- /dev/null
+++ b/node/src/main/java/fawnlb/proxy/AttemptResult.java
@@ -0,0 +1,21 @@
+package fawnlb.proxy;
+
+import fawnlb.decision.AttemptOutcome;
+import java.util.List;
+
+/**
+ * What the load balancer is told of an attempt's end.
+ *
+ * @param cachedTokens prompt tokens that the backend had in its cache
+ * @param loadReport the backend's load report in the order of the settings, or empty
+ */
+record AttemptResult(AttemptOutcome outcome, long cachedTokens, List<Double> loadReport) {
+    /** A result without figures of the backend. */
+    static AttemptResult of(AttemptOutcome outcome) {
+        return new AttemptResult(outcome, 0, List.of());
+    }
+
+    AttemptResult withOutcome(AttemptOutcome other) {
+        return new AttemptResult(other, cachedTokens, loadReport);
+    }
+}
--- a/node/src/main/java/fawnlb/server/Server.java
+++ b/node/src/main/java/fawnlb/server/Server.java
@@ -18,6 +18,7 @@
 import fawnlb.metrics.LogLine;
 import fawnlb.platform.PlatformHandler;
 import fawnlb.policy.BoundedLoadBalancer;
+import fawnlb.proxy.ProxyContext;
 import fawnlb.proxy.RequestProxy;
 import fawnlb.restore.RestoredEndpointFilter;
 import fawnlb.snapshot.SnapshotRecorder;
@@ -150,12 +151,11 @@
                 publisher);
         // Where endpoint lists are pushed, they are pushed to an agent on this machine, which the server has to poll.
         requestProxy = new RequestProxy(
-                configuration.settings().withWatchedDiscovery(),
+                new ProxyContext(
+                        configuration.settings().withWatchedDiscovery(), eventLoop.newMailbox(), eventLoop.timers()),
                 configuration.seed(),
                 (settings, seed, sink) ->
                         new EndpointFilterChain(filters, BoundedLoadBalancer::new, settings, seed, sink),
-                eventLoop.newMailbox(),
-                eventLoop.timers(),
                 backends,
                 discovery);
         if (startup.isListTrusted()) {
--- a/node/src/test/java/fawnlb/proxy/RequestProxyTest.java
+++ b/node/src/test/java/fawnlb/proxy/RequestProxyTest.java
@@ -43,7 +43,10 @@
 
     private RequestProxy createProxy(String classSettings) {
         return new RequestProxy(
-                new SettingsParser("limits.most-tries=3\nlimits.most-held=2\n" + classSettings).parse(),
+                new ProxyContext(
+                        new SettingsParser("limits.most-tries=3\nlimits.most-held=2\n" + classSettings).parse(),
+                        new Mailbox(Runnable::run, 100),
+                        timers),
                 1,
                 (settings, seed, sink) -> {
                     actions = sink;
@@ -54,8 +57,6 @@
                         }
                     };
                 },
-                new Mailbox(Runnable::run, 100),
-                timers,
                 new RecordingBackends(),
                 new IdleEndpointWatch());
     }
@@ -445,7 +446,7 @@
             proxy.beginGracefulShutdown();
             proxy.submit(new IncomingRequest(0, 0, 2, 0, 7500 * MS, 1, 0, 1, false, null), new RecordingClient());
             actions.perform(new StartAttempt(2, 8, 0));
-            timers.advance(RequestProxy.SHUTDOWN_ANSWER_DEADLINE_NANOS - MS);
+            timers.advance(FinalDeadlines.SHUTDOWN_ANSWER_DEADLINE_NANOS - MS);
             assertEquals(List.of("forward 7", "forward 8"), observed);
             timers.advance(2 * MS);
             String answer = effect.equals("safe") ? "refused" : "failed";
@@ -466,14 +467,13 @@
         ArrayDeque<Runnable> executor = new ArrayDeque<>();
         Mailbox mailbox = new Mailbox(executor::add, 1);
         proxy = new RequestProxy(
-                new SettingsParser("limits.most-tries=3\nlimits.most-held=2\n").parse(),
+                new ProxyContext(
+                        new SettingsParser("limits.most-tries=3\nlimits.most-held=2\n").parse(), mailbox, timers),
                 1,
                 (settings, seed, sink) -> {
                     actions = sink;
                     return (now, event) -> events.add(event);
                 },
-                mailbox,
-                timers,
                 new RecordingBackends(),
                 new IdleEndpointWatch());
         actions.perform(new LoadBalancerAction.SetTimer(timers.now(), 3));
