--- a/node/src/main/java/fawnlb/client/AcceptFailureLog.java
+++ b/node/src/main/java/fawnlb/client/AcceptFailureLog.java
@@ -4,7 +4,7 @@
 import fawnlb.eventloop.Timers;
 import fawnlb.metrics.LogLine;
 import fawnlb.metrics.Metrics;
-import fawnlb.metrics.Metrics.Metric;
+import fawnlb.metrics.Metric;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.logging.Logger;
--- a/node/src/main/java/fawnlb/eventloop/EventLoopCall.java
+++ b/node/src/main/java/fawnlb/eventloop/EventLoopCall.java
@@ -5,11 +5,16 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.FutureTask;
 
-/** A turn on the I/O thread that another thread waits for. */
+/** Calls from other threads into the event loop that wait for the result. */
 public final class EventLoopCall {
     private EventLoopCall() {}
 
-    /** What the task returns; all that had been handed to the thread before has run by then. */
+    /**
+     * Runs the task on the event loop, after all that was handed to it before, and returns its result. Must not be
+     * called on the event loop itself, which would wait for itself.
+     *
+     * @throws IllegalStateException if the task throws; the cause is what it threw
+     */
     public static <T> T callAndWait(Executor eventLoop, Callable<T> task) throws InterruptedException {
         FutureTask<T> future = new FutureTask<>(task);
         eventLoop.execute(future);
--- a/node/src/main/java/fawnlb/eventloop/EventLoopLag.java
+++ b/node/src/main/java/fawnlb/eventloop/EventLoopLag.java
@@ -3,14 +3,13 @@
 import java.util.concurrent.Executor;
 
 /**
- * How long ago what is being read may have arrived. An event loop looks at its sockets once a round; while it works
- * through what it found, further bytes wait unseen, and on a small part of a core that can be long. Whoever has to keep
- * a deadline that began with the arrival asks here.
- *
- * <p>It belongs to the event loop's thread. Socket handlers call {@link #onSocketEvent} first.
+ * Measures for how long bytes may have waited for the event loop before it read them. The loop looks at its sockets
+ * once a round; bytes that arrive while it works through what it found wait unseen for the next one, which can take
+ * long on a small part of a core. A deadline that runs from a request's arrival has to count that wait.
  */
+@EventLoopOnly
 public final class EventLoopLag {
-    /** A wait for events that is shorter than this counts as none: bytes may have arrived before it. */
+    /** A pause between two rounds that is shorter than this counts as none: bytes may have arrived before it. */
     private static final long MIN_IDLE_WAIT_NANOS = 20_000_000;
 
     private final Executor eventLoop;
@@ -18,15 +17,16 @@
     private boolean inRound;
     private long roundStartedAt;
     private long earliestArrivalAt;
+    /** Half of the smallest value, so that the time since then does not overflow. */
     private long roundEndedAt = Long.MIN_VALUE / 2;
 
-    /** Creates one for the event loop that runs the tasks of this executor before it looks at its sockets again. */
+    /** @param eventLoop runs all tasks that were handed to it before the loop looks at its sockets again */
     public EventLoopLag(Executor eventLoop, Timers timers) {
         this.eventLoop = eventLoop;
         this.timers = timers;
     }
 
-    /** Called at the beginning of each socket handler. */
+    /** Notes that a socket is handled. Each socket handler calls this first. */
     public void onSocketEvent() {
         if (inRound) {
             return;
@@ -34,10 +34,10 @@
         inRound = true;
         long now = timers.now();
         boolean wasIdle = now - roundEndedAt >= MIN_IDLE_WAIT_NANOS;
-        // What this round finds has arrived after the last one had looked.
+        // What this round finds has arrived since the last round looked at its sockets.
         earliestArrivalAt = wasIdle ? now : roundStartedAt;
         roundStartedAt = now;
-        // Twice, so that it comes behind the tasks that the handlers of this round leave.
+        // The second hand-over puts the end of the round behind the tasks that this round's handlers leave.
         eventLoop.execute(() -> eventLoop.execute(this::onRoundEnded));
     }
 
@@ -46,7 +46,7 @@
         roundEndedAt = timers.now();
     }
 
-    /** The longest time, in nanoseconds, for which bytes that are read now may have waited; zero outside a round. */
+    /** For how long, at the most, bytes that are read now may have waited, in nanoseconds; 0 outside a round. */
     public long maxQueuedNanos() {
         return inRound ? timers.now() - earliestArrivalAt : 0;
     }
--- a/node/src/main/java/fawnlb/eventloop/EventLoopTimers.java
+++ b/node/src/main/java/fawnlb/eventloop/EventLoopTimers.java
@@ -3,14 +3,18 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.XnioExecutor;
 
-/** Timers of an XNIO I/O thread. The clock is set once by the wall clock and runs on the monotonic one. */
+/**
+ * The clock and timers of an XNIO I/O thread. The clock is set by the wall clock once and then runs on the monotonic
+ * one.
+ */
 public final class EventLoopTimers implements Timers {
     private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
     private final XnioExecutor executor;
     private final EventLoopLag lag;
-    private final long wallClockOffsetNanos = System.currentTimeMillis() * 1_000_000L - System.nanoTime();
+    private final long wallClockOffsetNanos = System.currentTimeMillis() * NANOS_PER_MILLISECOND - System.nanoTime();
 
+    /** Creates the timers of the thread that runs this executor's tasks. */
     public EventLoopTimers(XnioExecutor executor) {
         this.executor = executor;
         this.lag = new EventLoopLag(executor, this);
@@ -33,11 +37,8 @@
 
     @Override
     public Timer schedule(long delayNanos, Runnable task) {
-        // XNIO counts whole milliseconds and would round down: a task that comes early finds nothing due and asks
-        // again.
-        return executor.executeAfter(
-                task,
-                Math.max(0, delayNanos + NANOS_PER_MILLISECOND - 1) / NANOS_PER_MILLISECOND,
-                TimeUnit.MILLISECONDS)::remove;
+        // XNIO counts whole milliseconds. Rounded down, a task would come too early and find nothing due.
+        long delayMillis = Math.max(0, delayNanos + NANOS_PER_MILLISECOND - 1) / NANOS_PER_MILLISECOND;
+        return executor.executeAfter(task, delayMillis, TimeUnit.MILLISECONDS)::remove;
     }
 }
--- a/node/src/main/java/fawnlb/eventloop/EventLoopWatchdog.java
+++ b/node/src/main/java/fawnlb/eventloop/EventLoopWatchdog.java
@@ -1,19 +1,23 @@
 package fawnlb.eventloop;
 
+import fawnlb.metrics.LogLine;
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
 /**
- * Sees that the thread which carries all actors still turns, and says where it stands when it does not: from outside, a
- * node whose thread waits for something looks like one that has nothing to do. It only tells; it ends nothing.
+ * Reports when the event loop has stopped running tasks, and where its thread stands then. From outside, a process
+ * whose event loop is blocked looks like one that has nothing to do. The watchdog only logs; it ends nothing.
  *
- * <p>It is asked at a steady pace on a thread of its own. Times are nanoseconds of one clock.
+ * <p>One thread other than the event loop calls {@link #check} every {@link #CHECK_INTERVAL_NANOS}.
  */
 public final class EventLoopWatchdog {
-    /** A turn may take so long; a collection of the whole heap on a small part of a core takes a tenth of it. */
+    /**
+     * How long the event loop may run without a look at its tasks. A collection of the whole heap on a small part of a
+     * core takes a tenth of it.
+     */
     public static final long STALL_THRESHOLD_NANOS = 2_000_000_000L;
-    /** How often it is to be asked. */
+    /** How often {@link #check} is to be called. */
     public static final long CHECK_INTERVAL_NANOS = STALL_THRESHOLD_NANOS / 2;
 
     private static final int MAX_LOGGED_FRAMES = 12;
@@ -26,37 +30,61 @@
     private long checkedAt;
     private boolean stallReported;
 
-    /** Watched: has the thread run something. Stack: where the thread is at the moment. */
+    /**
+     * @param eventLoop runs tasks on the thread that is watched
+     * @param stackTrace the present stack of that thread
+     * @param log takes the lines
+     */
     public EventLoopWatchdog(Executor eventLoop, Supplier<StackTraceElement[]> stackTrace, Consumer<String> log) {
         this.eventLoop = eventLoop;
         this.stackTrace = stackTrace;
         this.log = log;
     }
 
-    /** Asks the thread for a sign, or looks for the one that was asked for. */
+    /**
+     * Hands the event loop a task, or looks whether it has run the last one.
+     *
+     * @param now nanoseconds on a clock that never goes back, the same in all calls
+     */
     public void check(long now) {
         boolean processPaused = now - checkedAt > 2 * CHECK_INTERVAL_NANOS;
         checkedAt = now;
         if (responded) {
-            if (stallReported) {
-                log.accept("the I/O thread turns again, after about " + (now - pingedAt) / 1_000_000 + " ms");
-            }
-            stallReported = false;
-            pingedAt = now;
-            responded = false;
-            eventLoop.execute(() -> responded = true);
+            reportEndOfStall(now);
+            ping(now);
         } else if (processPaused) {
-            // The whole process stood still: the thread has not had its time either.
+            // The whole process stood still, so the event loop has not had this time either.
             pingedAt = now;
         } else if (!stallReported && now - pingedAt >= STALL_THRESHOLD_NANOS) {
             stallReported = true;
-            StringBuilder text = new StringBuilder(
-                    "the I/O thread has not turned for " + (now - pingedAt) / 1_000_000 + " ms; it is at");
-            StackTraceElement[] frames = stackTrace.get();
-            for (int i = 0; i < Math.min(MAX_LOGGED_FRAMES, frames.length); i++) {
-                text.append(i == 0 ? " " : " < ").append(frames[i]);
-            }
-            log.accept(text.toString());
+            log.accept(LogLine.event("event loop stalled")
+                    .elapsedNanos(now - pingedAt)
+                    .with("stack", describeStack())
+                    .toString());
+        }
+    }
+
+    private void reportEndOfStall(long now) {
+        if (stallReported) {
+            log.accept(LogLine.event("event loop responds again")
+                    .elapsedNanos(now - pingedAt)
+                    .toString());
+        }
+        stallReported = false;
+    }
+
+    private void ping(long now) {
+        pingedAt = now;
+        responded = false;
+        eventLoop.execute(() -> responded = true);
+    }
+
+    private String describeStack() {
+        StringBuilder text = new StringBuilder();
+        StackTraceElement[] frames = stackTrace.get();
+        for (int i = 0; i < Math.min(MAX_LOGGED_FRAMES, frames.length); i++) {
+            text.append(i == 0 ? "" : " < ").append(frames[i]);
         }
+        return text.toString();
     }
 }
--- a/node/src/main/java/fawnlb/eventloop/Mailbox.java
+++ b/node/src/main/java/fawnlb/eventloop/Mailbox.java
@@ -8,13 +8,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The mailbox of one actor: its messages run one at a time, in the order in which they were told, on the given
- * executor. An actor's state is touched by its own messages alone.
+ * The mailbox of one actor. Its messages run one at a time, in the order in which they were told, on the given
+ * executor; only they touch the actor's state. Messages may be told from any thread.
  */
+@ThreadSafe
 public final class Mailbox {
-    /** So many messages run in one go; then other actors have their turn. */
+    /** How many messages run before other tasks of the executor get their turn. */
     private static final int MAX_MESSAGES_PER_TURN = 64;
 
+    private static final Runnable NO_ACTION = () -> {};
+
     private final Executor executor;
     private final int capacity;
     private final ConcurrentLinkedQueue<Message> messages = new ConcurrentLinkedQueue<>();
@@ -23,29 +26,31 @@
 
     private record Message(Runnable task, Runnable onFailure) {}
 
+    /** @param capacity how many messages may wait before {@link #tell(Runnable)} takes no more */
     public Mailbox(Executor executor, int capacity) {
         this.executor = executor;
         this.capacity = capacity;
     }
 
     /**
-     * Leaves a message that nobody would say again and that the actor must not miss, such as a change of membership or
-     * a timer that is set once, whether the mailbox is full or not. For messages whose number something else bounds:
-     * requests that are open, timers, members.
+     * Leaves a message whether the mailbox is full or not. For messages that the actor must not miss and nobody would
+     * repeat, such as an endpoint update or a timer, and whose number is bounded elsewhere: by the open requests,
+     * timers or endpoints.
      */
     public void tellAlways(Runnable message) {
         queuedMessages.incrementAndGet();
-        enqueue(message, () -> {});
+        enqueue(message, NO_ACTION);
     }
 
-    /** Leaves a message; false, and nothing left, if the mailbox is full. */
+    /** Leaves a message, or returns false if the mailbox is full. */
     public boolean tell(Runnable message) {
-        return tell(message, () -> {});
+        return tell(message, NO_ACTION);
     }
 
     /**
-     * The same for a message that somebody waits for the outcome of. Failed: runs in its place if the message throws,
-     * which nobody expects; whoever waits must hear of it all the same.
+     * Leaves a message, or returns false if the mailbox is full.
+     *
+     * @param onFailure runs after the message if that throws, for whoever waits for its outcome
      */
     public boolean tell(Runnable message, Runnable onFailure) {
         if (queuedMessages.incrementAndGet() > capacity) {
@@ -57,21 +62,22 @@
         return true;
     }
 
-    private void enqueue(Runnable message, Runnable onFailure) {
-        messages.add(new Message(message, onFailure));
-        scheduleTurn();
-    }
-
     /**
-     * Leaves a message that somebody waits for the outcome of. Failed: runs in its place if it throws, and at once if
-     * the mailbox is full, so that no one waits for a message that was never left.
+     * Leaves a message whose outcome somebody waits for.
+     *
+     * @param onFailure runs after the message if that throws, and at once on the calling thread if the mailbox is full
      */
     public void tellOrFail(Runnable message, Runnable onFailure) {
         if (!tell(message, onFailure)) {
-            UncaughtErrorHandler.run(onFailure, "message failed for want of room", () -> {});
+            UncaughtErrorHandler.run(onFailure, "message failed for want of room", NO_ACTION);
         }
     }
 
+    private void enqueue(Runnable message, Runnable onFailure) {
+        messages.add(new Message(message, onFailure));
+        scheduleTurn();
+    }
+
     private void scheduleTurn() {
         if (turnScheduled.compareAndSet(false, true)) {
             executor.execute(this::runTurn);
@@ -85,7 +91,7 @@
                 break;
             }
             queuedMessages.decrementAndGet();
-            // One bad message must not stop this actor, or the thread that all actors share.
+            // A message that throws must stop neither this actor nor the thread that it shares with all others.
             UncaughtErrorHandler.run(message.task(), "message failed", message.onFailure());
         }
         turnScheduled.set(false);
--- a/node/src/main/java/fawnlb/eventloop/Timers.java
+++ b/node/src/main/java/fawnlb/eventloop/Timers.java
@@ -1,23 +1,27 @@
 package fawnlb.eventloop;
 
-/** The clock that all actors read, and messages to come at a time of it. */
+/** The clock that everything on one event loop reads, and its timers. All times are nanoseconds. */
 public interface Timers {
-    /** Nanoseconds since the Unix epoch; never goes back. */
+    /** The time, in nanoseconds since the Unix epoch. It never goes back. Safe for all threads. */
+    @ThreadSafe
     long now();
 
-    /** Runs the task once, so many nanoseconds from now. */
+    /** Runs the task once on the event loop, not before the delay is over. A delay of 0 or less runs it soon. */
     Timer schedule(long delayNanos, Runnable task);
 
-    /** Told at the beginning of each socket handler, so that {@link #maxEventAgeNanos} can be known. */
+    /** Called by each socket handler as its first step, so that {@link #maxEventAgeNanos} can be known. */
+    @EventLoopOnly
     default void onSocketEvent() {}
 
-    /** How long the bytes that are being read may have waited for this thread, in nanoseconds, at the longest. */
+    /** For how long, at the most, the bytes that are being read may have waited for the event loop, in nanoseconds. */
+    @EventLoopOnly
     default long maxEventAgeNanos() {
         return 0;
     }
 
-    /** A task that has not run yet. */
+    /** A task that was scheduled. */
     interface Timer {
+        /** Prevents the task from running. Without effect if it has run. */
         void cancel();
     }
 }
--- a/node/src/main/java/fawnlb/proxy/Backends.java
+++ b/node/src/main/java/fawnlb/proxy/Backends.java
@@ -1,23 +1,30 @@
 package fawnlb.proxy;
 
 import fawnlb.decision.AttemptOutcome;
+import fawnlb.eventloop.EventLoopOnly;
+import fawnlb.eventloop.Timers;
 import fawnlb.stream.AttemptEnd;
 import fawnlb.stream.EndReason;
 import java.util.List;
 
-/** The backends as the core sees them. */
+/** The backends as the proxy sees them. The proxy calls it, and is called back, on the event loop. */
+@EventLoopOnly
 public interface Backends {
-    /** A process may be held up for so long between its look at the clock and the write, in nanoseconds. */
+    /** How long a process may be held up between its look at the clock and the write that follows, in nanoseconds. */
     long MAX_PROCESS_STALL_NANOS = 150_000_000;
 
     /**
-     * Starts an attempt. The report hears of it once or twice: perhaps its start, and always its end. A backend that
-     * drains or has left by the time at which its connection is up is sent nothing.
+     * Starts an attempt. The listener hears at most once of a response and always, as the last, of the attempt's end;
+     * it may hear of the end during this call. Nothing is sent to a backend that is draining or was removed by the time
+     * at which its connection is up.
      *
-     * @param responseDeadline when the node no longer waits for its answer to begin, in nanoseconds on the host's clock
-     * @param sendDeadline the request is not sent at this time or later, in nanoseconds on the host's clock
-     * @param retryPossible whether another could follow it, so that there is something to gain by not waiting for it to
-     *     the end
+     * @param backend the backend's endpoint id
+     * @param responseDeadline when the attempt is given up if its response has not begun, in nanoseconds on the clock
+     *     of {@link Timers}
+     * @param sendDeadline the request is not sent at this time or later, on the same clock; {@code Long.MAX_VALUE} for
+     *     no limit
+     * @param retryPossible whether another attempt could follow, so that giving up early on a backend that stalls gains
+     *     something
      */
     Attempt startAttempt(
             long backend,
@@ -27,37 +34,50 @@
             boolean retryPossible,
             AttemptListener listener);
 
-    /** Tests a backend. */
+    /** Checks a backend's health. The listener hears of the result once. */
     void checkHealth(long backend, HealthCheckListener listener);
 
-    /** One attempt that is out. */
+    /** An attempt that was started. */
     interface Attempt {
-        /** Stops it with this end; without effect once it has ended. */
+        /** Stops the attempt, which ends for this reason. Without effect once it has ended. */
         void stop(EndReason reason);
     }
 
-    /** What becomes of an attempt. */
+    /** Hears of an attempt's progress. */
     interface AttemptListener {
         /**
-         * Asked when the request is about to be written, which may be long after it was decided on: is it still wanted?
+         * Whether the request is still to be sent. Asked right before it is written, which may be long after the
+         * attempt was started.
          */
         boolean isStillWanted();
 
+        /** The backend's response has begun, and is the client's answer. */
         void onResponseStarted(ResponseSource source);
 
-        /** Instead of its start: the backend finds the request itself wrong, as every backend would. */
+        /**
+         * The backend found the request itself wrong, as every backend would, and its error response is the client's
+         * answer. Called instead of {@link #onResponseStarted}.
+         */
         void onClientErrorResponse(ResponseSource source);
 
         /**
-         * Between its start and its end: its reader has stopped, and until it reads on it is no work for the backend.
+         * The client has stopped reading the response, so the stream is no work for its backend until the client reads
+         * on. Called at most once, between the response's start and the attempt's end.
          */
         void onClientStalled();
 
+        /**
+         * The attempt has ended.
+         *
+         * @param cachedTokens prompt tokens that the backend had in its cache
+         * @param loadReport the backend's load report in the order of the settings, or empty
+         */
         void onAttemptEnded(AttemptEnd end, long cachedTokens, List<Double> loadReport);
     }
 
-    /** What a probe finds. */
+    /** Hears of a health check's result. */
     interface HealthCheckListener {
+        /** @param loadReport the backend's load report in the order of the settings, or empty */
         void onHealthChecked(AttemptOutcome outcome, List<Double> loadReport);
     }
 }
--- a/node/src/main/java/fawnlb/proxy/ClientConnection.java
+++ b/node/src/main/java/fawnlb/proxy/ClientConnection.java
@@ -1,10 +1,15 @@
 package fawnlb.proxy;
 
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.stream.AttemptEnd;
 
-/** The client's side of a flow. Exactly one of its answers is called, once, unless the client has left. */
+/**
+ * The client's side of a request. The proxy calls exactly one of {@link #streamResponse}, {@link #sendRejection} and
+ * {@link #sendFailure}, once, unless the client has left before.
+ */
+@EventLoopOnly
 public interface ClientConnection {
-    /** Whether the client is there now, as its connection says at this moment and not when it was last looked at. */
+    /** Whether the client is still connected. The implementation looks at the connection now. */
     boolean isConnected();
 
     /** For how long the request may have waited before its connection was accepted, in nanoseconds. */
@@ -12,15 +17,21 @@
         return 0;
     }
 
-    /** A backend's stream is the answer. */
+    /** Answers with a backend's response. */
     void streamResponse(ResponseSource source);
 
     /**
-     * Fixed response: trying again is harmless, after so many nanoseconds. Cause: how the last attempt ended, null if
-     * there was none.
+     * Answers with a rejection: a retry does no harm.
+     *
+     * @param cause how the last attempt ended, {@code null} if there was none
+     * @param retryAfterNanos when the client may retry, in nanoseconds from now
      */
     void sendRejection(AttemptEnd cause, long retryAfterNanos);
 
-    /** Fixed response: failed, with no word on what it did. */
+    /**
+     * Answers with a failure: the request may have been executed.
+     *
+     * @param cause how the last attempt ended, {@code null} if there was none
+     */
     void sendFailure(AttemptEnd cause);
 }
--- a/node/src/main/java/fawnlb/proxy/EndpointWatch.java
+++ b/node/src/main/java/fawnlb/proxy/EndpointWatch.java
@@ -1,8 +1,13 @@
 package fawnlb.proxy;
 
-/** The list of backends, which tells the core only what it was asked for. */
+/**
+ * The endpoint list as the proxy sees it: where the load balancer asks for updates. They arrive at
+ * {@link RequestProxy#onEndpointsUpdated}.
+ */
 public interface EndpointWatch {
+    /** Follows the changes of the list from here on. */
     void watchEndpoints();
 
+    /** Asks once for the whole list. */
     void fetchEndpoints();
 }
--- a/node/src/main/java/fawnlb/proxy/ResponseSource.java
+++ b/node/src/main/java/fawnlb/proxy/ResponseSource.java
@@ -1,29 +1,36 @@
 package fawnlb.proxy;
 
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.stream.AttemptEnd;
 import java.nio.ByteBuffer;
 
-/** A backend's stream that has begun. It sends a sink one chunk, and the next when the sink asks for more. */
+/**
+ * A backend's response that has begun. It passes one chunk at a time: the next follows when the sink asks for it, so a
+ * slow client slows its backend down and fills no memory.
+ */
+@EventLoopOnly
 public interface ResponseSource {
+    /** Starts to pass chunks to the sink. Called once. */
     void streamTo(Sink sink);
 
-    /** The sink has passed on its chunk. */
+    /** The sink has written its chunk and is ready for the next one. */
     void requestNextChunk();
 
-    /** The sink can't pass on all of its chunk yet; so many bytes are left. Told again when fewer are. */
+    /** The sink tried to write its chunk, and so many bytes are left. It tries again when the client takes more. */
     void onUnsentBytes(int unsentBytes);
 
-    /** The sink has all that it wants: the stream is over for its reader too. */
+    /** The sink takes no more: the response is complete for the client, or the client has left. */
     void onSinkClosed();
 
-    /** What takes a stream: chunks, and then one of the two ends. */
+    /** Takes a response: chunks, and then one of the two ends. */
     interface Sink {
+        /** Takes the next chunk, which belongs to the sink until it asks for another. */
         void onChunk(ByteBuffer bytes);
 
-        /** The stream is whole. */
+        /** The response is complete. */
         void onComplete();
 
-        /** The stream broke; it must not look finished. */
+        /** The response broke off. The client must not take it for complete. */
         void onBroken(AttemptEnd end);
     }
 }
--- a/node/src/test/java/fawnlb/eventloop/EventLoopWatchdogTest.java
+++ b/node/src/test/java/fawnlb/eventloop/EventLoopWatchdogTest.java
@@ -35,18 +35,16 @@
         assertEquals(List.of(), log);
         check(9, false);
         assertEquals(log.toString(), 1, log.size());
-        assertTrue(
-                log.get(0),
-                log.get(0).contains("not turned for 2000 ms") && log.get(0).contains("Place.java:7"));
-        assertEquals("one sign asked for", 1, eventLoop.size());
+        assertEquals("event loop stalled elapsed_ms=2000 stack=fawnlb.some.Place.waits(Place.java:7)", log.get(0));
+        assertEquals("one ping at a time", 1, eventLoop.size());
         check(2, true);
         assertEquals(log.toString(), 2, log.size());
-        assertTrue(log.get(1), log.get(1).contains("turns again"));
+        assertTrue(log.get(1), log.get(1).startsWith("event loop responds again elapsed_ms="));
         check(5, true);
         assertEquals(2, log.size());
     }
 
-    /** Where the whole process is stopped for a while, the thread has not had that time either. */
+    /** While the whole process is stopped, the event loop has no time to run either. */
     @Test
     public void pausedProcessIsNotReportedAsStalledThread() {
         check(3, true);
