--- a/node/src/test/java/fawnlb/PackagesTest.java
+++ b/node/src/test/java/fawnlb/PackagesTest.java
@@ -17,25 +17,49 @@
 import java.util.stream.Stream;
 import org.junit.Test;
 
-/** Packages import one another in one direction only, and the core knows no wire. */
+/** Which packages may import which, in the load balancer and in the lab. */
 public class PackagesTest {
-    private static final Path ROOT = Path.of("src/main/java");
+    private static final Path LOAD_BALANCER = Path.of("src/main/java");
+    private static final Path LAB = Path.of("../lab/src/main/java");
     private static final Pattern IMPORT = Pattern.compile("(?m)^import (?:static )?([a-z0-9.]+)\\.[A-Z]");
+    /** What decision code must not name, be it in an import or in full. */
+    private static final Pattern NETWORK =
+            Pattern.compile("\\b(?:org\\.xnio|io\\.undertow|java\\.net|java\\.nio\\.channels)\\b");
 
-    private static Map<String, Set<String>> importsByPackage() throws IOException {
-        Map<String, Set<String>> found = new TreeMap<>();
-        try (Stream<Path> files = Files.walk(ROOT)) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
-                String name = ROOT.relativize(file.getParent()).toString().replace('/', '.');
+    private static final Set<String> DECISION_PACKAGES = Set.of(
+            "fawnlb.decision",
+            "fawnlb.policy",
+            "fawnlb.membership",
+            "fawnlb.filter",
+            "fawnlb.restore",
+            "fawnlb.stream");
+    private static final Set<String> PACKAGES_BELOW_PROXY =
+            Set.of("fawnlb.decision", "fawnlb.eventloop", "fawnlb.stream", "fawnlb.metrics");
+
+    private static List<Path> sourceFiles(Path root) throws IOException {
+        try (Stream<Path> files = Files.walk(root)) {
+            return files.filter(file -> file.toString().endsWith(".java")).toList();
+        }
+    }
+
+    private static String packageOf(Path root, Path file) {
+        return root.relativize(file.getParent()).toString().replace('/', '.');
+    }
+
+    private static Map<String, Set<String>> importsByPackage(Path... roots) throws IOException {
+        Map<String, Set<String>> importsByPackage = new TreeMap<>();
+        for (Path root : roots) {
+            for (Path file : sourceFiles(root)) {
+                String name = packageOf(root, file);
+                Set<String> imports = importsByPackage.computeIfAbsent(name, key -> new TreeSet<>());
                 Matcher matcher = IMPORT.matcher(Files.readString(file));
-                Set<String> to = found.computeIfAbsent(name, k -> new TreeSet<>());
                 while (matcher.find()) {
-                    to.add(matcher.group(1));
+                    imports.add(matcher.group(1));
                 }
-                to.remove(name);
+                imports.remove(name);
             }
         }
-        return found;
+        return importsByPackage;
     }
 
     private static void collectCycles(
@@ -51,25 +75,63 @@
 
     @Test
     public void packagesHaveNoImportCycles() throws IOException {
-        Map<String, Set<String>> graph = importsByPackage();
+        Map<String, Set<String>> graph = importsByPackage(LOAD_BALANCER, LAB);
+
         List<String> cycles = new ArrayList<>();
         graph.keySet().forEach(name -> collectCycles(graph, name, new ArrayList<>(), cycles));
+
         assertEquals(List.of(), cycles);
-        assertTrue(
-                graph.containsKey("fawnlb.proxy") && graph.get("fawnlb.server").contains("fawnlb.proxy"));
+        assertTrue(graph.get("fawnlb.server").contains("fawnlb.proxy"));
+        assertTrue(graph.get("fawnlb.lab.scenario").contains("fawnlb.lab.load"));
+    }
+
+    @Test
+    public void loadBalancerImportsNothingOfTheLab() throws IOException {
+        importsByPackage(LOAD_BALANCER)
+                .forEach((name, imports) ->
+                        assertTrue(name, imports.stream().noneMatch(imported -> imported.startsWith("fawnlb.lab"))));
     }
 
     @Test
     public void proxyAndMetricsImportNoIoPackages() throws IOException {
-        for (String name : importsByPackage().get("fawnlb.proxy")) {
-            assertTrue(
-                    name,
-                    name.startsWith("java.")
-                            || Set.of("fawnlb.decision", "fawnlb.eventloop", "fawnlb.stream", "fawnlb.metrics")
-                                    .contains(name));
+        Map<String, Set<String>> imports = importsByPackage(LOAD_BALANCER);
+        for (String name : imports.get("fawnlb.proxy")) {
+            assertTrue(name, name.startsWith("java.") || PACKAGES_BELOW_PROXY.contains(name));
         }
         assertTrue(
-                "counts alone",
-                importsByPackage().get("fawnlb.metrics").stream().allMatch(name -> name.startsWith("java.")));
+                "metrics depend on nothing",
+                imports.get("fawnlb.metrics").stream().allMatch(name -> name.startsWith("java.")));
+    }
+
+    /**
+     * Decisions are made from events and a given time, so that tests and the simulator can play them without sockets.
+     */
+    @Test
+    public void decisionCodeNamesNoNetworkPackage() throws IOException {
+        Set<String> checked = new TreeSet<>();
+        List<String> offenders = new ArrayList<>();
+        for (Path file : sourceFiles(LOAD_BALANCER)) {
+            String name = packageOf(LOAD_BALANCER, file);
+            if (DECISION_PACKAGES.contains(name)) {
+                checked.add(name);
+                if (NETWORK.matcher(Files.readString(file)).find()) {
+                    offenders.add(file.toString());
+                }
+            }
+        }
+        assertEquals(new TreeSet<>(DECISION_PACKAGES), checked);
+        assertEquals(List.of(), offenders);
+    }
+
+    @Test
+    public void decisionPackagesImportOnlyOneAnother() throws IOException {
+        Map<String, Set<String>> imports = importsByPackage(LOAD_BALANCER);
+        for (String decisionPackage : DECISION_PACKAGES) {
+            for (String imported : imports.get(decisionPackage)) {
+                assertTrue(
+                        decisionPackage + " imports " + imported,
+                        !imported.startsWith("fawnlb.") || DECISION_PACKAGES.contains(imported));
+            }
+        }
     }
 }
