--- a/node/src/main/java/fawnlb/metrics/Metric.java
+++ b/node/src/main/java/fawnlb/metrics/Metric.java
@@ -2,7 +2,7 @@
 
 /**
  * The registry of everything that the process counts: each metric's series, type, label and meaning. The operators'
- * page {@code docs/operations/metrics.md} has the same table; a test compares the two.
+ * page {@code docs/operations/on-call.md} has the same table; a test compares the two.
  *
  * <p>The names of series and labels are read by dashboards and alerts: a new name needs the old series beside it for
  * one release.
@@ -22,7 +22,7 @@
     LOCAL_CONNECT_FAILURES(
             "fawnlb_local_connect_failures_total",
             "kind",
-            "Connects to backends that failed for a reason of this machine"),
+            "Connects to backends that failed for a reason of this machine and count against no backend"),
     DISCOVERY_CALLS("fawnlb_discovery_calls_total", "result", "Calls to the discovery service, by how they went"),
     MESSAGES_DROPPED("fawnlb_messages_dropped_total", "kind", "Internal messages that a full mailbox did not take"),
     INVARIANT_VIOLATIONS(
