--- a/node/src/main/java/fawnlb/eventloop/Mailbox.java
+++ b/node/src/main/java/fawnlb/eventloop/Mailbox.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The mailbox of one actor. Its messages run one at a time, in the order in which they were told, on the given
- * executor; only they touch the actor's state. Messages may be told from any thread.
+ * The mailbox of one actor. Its messages run one at a time, in the order in which they were left, on the given
+ * executor; only they touch the actor's state. Any thread may leave messages.
  */
 @ThreadSafe
 public final class Mailbox {
@@ -50,7 +50,7 @@
     /**
      * Leaves a message, or returns false if the mailbox is full.
      *
-     * @param onFailure runs after the message if that throws, for whoever waits for its outcome
+     * @param onFailure runs after the message if that throws, so that a caller that waits for its outcome hears of it
      */
     public boolean tell(Runnable message, Runnable onFailure) {
         if (queuedMessages.incrementAndGet() > capacity) {
--- a/node/src/main/java/fawnlb/eventloop/UncaughtErrorHandler.java
+++ b/node/src/main/java/fawnlb/eventloop/UncaughtErrorHandler.java
@@ -14,7 +14,8 @@
      * Runs the task. What it throws is logged as {@code SEVERE} and not thrown on.
      *
      * @param failureMessage the log line if the task throws
-     * @param onFailure runs after the log line if the task throws, for whoever waits for its outcome
+     * @param onFailure runs after the log line if the task throws, so that a caller that waits for its outcome hears of
+     *     it
      */
     public static void run(Runnable task, String failureMessage, Runnable onFailure) {
         try {
--- a/node/src/main/java/fawnlb/proxy/AttemptResult.java
+++ b/node/src/main/java/fawnlb/proxy/AttemptResult.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * What the load balancer is told of an attempt's end.
+ * What is reported to the load balancer at an attempt's end.
  *
  * @param cachedTokens prompt tokens that the backend had in its cache
  * @param loadReport the backend's load report in the order of the settings, or empty
--- a/node/src/main/java/fawnlb/proxy/AttemptTracker.java
+++ b/node/src/main/java/fawnlb/proxy/AttemptTracker.java
@@ -102,7 +102,7 @@
 
     /**
      * The load balancer counts active attempts as work of their backends, and the stream of a stalled client is none.
-     * So it is told that the attempt was cancelled, and hears nothing of the stream's real end.
+     * So this is reported as a cancelled attempt, and the stream's real end is not reported at all.
      */
     private void stallClient(ProxiedRequest request, ActiveAttempt attempt) {
         if (request.isActive(attempt) && attempt.canStall()) {
--- a/node/src/main/java/fawnlb/proxy/EndpointWatch.java
+++ b/node/src/main/java/fawnlb/proxy/EndpointWatch.java
@@ -5,9 +5,9 @@
  * {@link RequestProxy#onEndpointsUpdated}.
  */
 public interface EndpointWatch {
-    /** Follows the changes of the list from here on. */
+    /** Asks for every change of the endpoint list from here on. */
     void watchEndpoints();
 
-    /** Asks once for the whole list. */
+    /** Asks once for the complete endpoint list. */
     void fetchEndpoints();
 }
--- a/node/src/main/java/fawnlb/proxy/FinalAnswers.java
+++ b/node/src/main/java/fawnlb/proxy/FinalAnswers.java
@@ -23,7 +23,7 @@
     /**
      * Rejects the request, or fails it where it may have been executed and its class forbids another execution.
      *
-     * @param request null, or answered already: nothing happens
+     * @param request nothing happens if it is null or answered
      * @param retryAfterNanos when the client may retry; 0 for the configured time
      */
     void reject(ProxiedRequest request, long retryAfterNanos) {
--- a/node/src/main/java/fawnlb/proxy/LoadBalancerNotifier.java
+++ b/node/src/main/java/fawnlb/proxy/LoadBalancerNotifier.java
@@ -6,7 +6,7 @@
 import fawnlb.eventloop.Timers;
 
 /**
- * Tells the load balancer what happened to requests, attempts, endpoints and timers, with the time at which it is told.
+ * Tells the load balancer what happened to requests, attempts, endpoints and timers, each with the time of the report.
  */
 @EventLoopOnly
 final class LoadBalancerNotifier {
--- a/node/src/main/java/fawnlb/proxy/RequestProxy.java
+++ b/node/src/main/java/fawnlb/proxy/RequestProxy.java
@@ -2,6 +2,7 @@
 
 import fawnlb.decision.LoadBalancer;
 import fawnlb.decision.LoadBalancerEvent;
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.ThreadSafe;
 import fawnlb.eventloop.Timers;
@@ -9,14 +10,12 @@
 import java.util.logging.Logger;
 
 /**
- * The core of the load balancer: owns every request from its submission by a front to its one final answer, asks the
- * {@link LoadBalancer} what to do with it, and carries out what it decides. It knows nothing of how clients and
- * backends speak.
+ * The core of the load balancer. It owns every request from its submission by a front to its one final answer, reports
+ * to the {@link LoadBalancer} what happens to it, and has the load balancer's actions carried out. It knows no wire
+ * format.
  *
- * <p>Its public methods may be called from any thread. They leave messages in the mailbox; all else runs on the event
- * loop, one message at a time.
+ * <p>The public methods leave messages in the mailbox; all else runs on the event loop, one message at a time.
  */
-@ThreadSafe
 public final class RequestProxy {
     /** How long before the client's own timeout the request's deadline is, for the way back and a late timer. */
     private static final long CLIENT_TIMEOUT_MARGIN_NANOS = 10_000_000;
@@ -33,9 +32,12 @@
     private final FinalDeadlines finalDeadlines;
     private volatile boolean admissionStopped;
 
-    /** What a front keeps of a request that it submitted. */
+    /** A front's hold on a request that it submitted. */
+    @ThreadSafe
     public interface RequestHandle {
-        /** Tells the proxy that the client has left; it gets no answer. */
+        /**
+         * Ends the request without an answer, since its client has left. Without effect on a request that has ended.
+         */
         void onClientDisconnected();
     }
 
@@ -61,6 +63,7 @@
     }
 
     /** How many requests have no final answer yet or an attempt that has not ended. */
+    @ThreadSafe
     public int openRequests() {
         return openRequests.size();
     }
@@ -69,11 +72,13 @@
      * Answers every request whose response does not begin within {@link FinalDeadlines#SHUTDOWN_ANSWER_DEADLINE_NANOS}
      * from now.
      */
+    @ThreadSafe
     public void beginGracefulShutdown() {
         mailbox.tellAlways(() -> finalDeadlines.beginShutdown(openRequests));
     }
 
     /** From now on {@link #submit} accepts no request. Those that are open go on. */
+    @ThreadSafe
     public void stopAdmitting() {
         admissionStopped = true;
     }
@@ -84,6 +89,7 @@
      * @return null if the limit of open requests is reached, the mailbox is full or the proxy admits no more; the front
      *     must then reject the request
      */
+    @EventLoopOnly
     public RequestHandle submit(IncomingRequest incoming, ClientConnection client) {
         ProxiedRequest request = new ProxiedRequest(incoming, client, deadline(incoming, client));
         boolean accepted = !admissionStopped
@@ -93,8 +99,8 @@
     }
 
     /**
-     * The time runs from the request's arrival: a backend must not be told of time that passed while the request lay
-     * unread.
+     * When the response must have begun. The client's timeout runs from the request's arrival, not from its submission:
+     * a backend must not be given time that has passed while the request lay unread.
      */
     private long deadline(IncomingRequest incoming, ClientConnection client) {
         Timers timers = context.timers();
@@ -103,7 +109,8 @@
         return arrivedAt + Math.max(0, incoming.timeoutNanos() - CLIENT_TIMEOUT_MARGIN_NANOS);
     }
 
-    /** Passes on a change of the endpoint list; changes must come in their order. */
+    /** Passes a change of the endpoint list on to the load balancer. Changes must come in their order. */
+    @ThreadSafe
     public void onEndpointsUpdated(LoadBalancerEvent.EndpointsUpdated update) {
         mailbox.tellAlways(() -> notifier.notify(update));
     }
--- a/node/src/main/java/fawnlb/proxy/RequestState.java
+++ b/node/src/main/java/fawnlb/proxy/RequestState.java
@@ -25,7 +25,7 @@
         return label;
     }
 
-    /** Whether the client has got its final answer, or the beginning of it, or has left. */
+    /** Whether the client was sent its final answer or the first chunk of it, or has left. */
     boolean isAnswered() {
         return this == STREAMING || this == STOPPING_ATTEMPT || this == ANSWERED;
     }
--- a/node/src/main/java/fawnlb/proxy/ResponseSource.java
+++ b/node/src/main/java/fawnlb/proxy/ResponseSource.java
@@ -16,7 +16,7 @@
     /** The sink has written its chunk and is ready for the next one. */
     void requestNextChunk();
 
-    /** The sink tried to write its chunk, and so many bytes are left. It tries again when the client takes more. */
+    /** The sink tried to write its chunk and could not write all of it. It tries again when the client takes more. */
     void onUnsentBytes(int unsentBytes);
 
     /** The sink takes no more: the response is complete for the client, or the client has left. */
--- a/node/src/main/java/fawnlb/proxy/package-info.java
+++ b/node/src/main/java/fawnlb/proxy/package-info.java
@@ -6,7 +6,7 @@
  * calls the backends and the endpoint list through {@link fawnlb.proxy.Backends} and
  * {@link fawnlb.proxy.EndpointWatch}, which other packages implement. It knows no wire format and does no I/O.
  *
- * <p>Everything but the public methods of {@code RequestProxy} runs on the event loop, one message of its mailbox at a
- * time.
+ * <p>Everything runs on the event loop, one message of the proxy's mailbox at a time; the methods of
+ * {@code RequestProxy} that other threads may call are marked.
  */
 package fawnlb.proxy;
--- a/node/src/test/java/fawnlb/proxy/RequestProxyHarness.java
+++ b/node/src/test/java/fawnlb/proxy/RequestProxyHarness.java
@@ -69,7 +69,7 @@
         };
     }
 
-    /** From now on the load balancer throws when it is told of such an event; null: of none. */
+    /** From now on the load balancer throws on events of this type; null: on none. */
     void failOn(Class<? extends LoadBalancerEvent> eventType) {
         failingEventType = eventType;
     }
