--- a/node/src/main/java/fawnlb/proxy/IncomingRequest.java
+++ b/node/src/main/java/fawnlb/proxy/IncomingRequest.java
@@ -30,8 +30,6 @@
     /** The request itself, which the proxy passes on unread. */
     public interface RequestPayload {
         /** The id that the client gave the request, for log lines. */
-        default String requestId() {
-            return "";
-        }
+        String requestId();
     }
 }
--- a/node/src/test/java/fawnlb/discovery/DiscoveryClientTest.java
+++ b/node/src/test/java/fawnlb/discovery/DiscoveryClientTest.java
@@ -5,7 +5,7 @@
 
 import fawnlb.decision.EndpointUpdateKind;
 import fawnlb.metrics.Metrics;
-import fawnlb.metrics.Metrics.Metric;
+import fawnlb.metrics.Metric;
 import java.io.IOException;
 import java.util.List;
 import org.junit.After;
