--- a/node/src/main/java/fawnlb/metrics/Invariant.java
+++ b/node/src/main/java/fawnlb/metrics/Invariant.java
@@ -9,10 +9,10 @@
  * checks the invariant itself, by facts of that place and not by those on which the step was decided. A violation is
  * counted and logged, and the caller leaves the step out where it still can.
  *
- * <p>Safe for all threads. The constants' names stand in log lines and on the operators' pages, their label values in
+ * <p>Safe for all threads. The constants' names stand in log lines and on the operators' pages, their labels in
  * {@code /metrics}.
  */
-public enum Invariant implements LabelValue {
+public enum Invariant {
     /** A request gets one final answer. */
     ONE_FINAL_ANSWER("one_final_answer"),
     /** A connection whose request was read is not closed by the load balancer before an answer has begun. */
@@ -33,16 +33,16 @@
     private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
     private static final Logger LOG = Logger.getLogger(Invariant.class.getName());
 
-    private final String labelValue;
+    private final String label;
     private final AtomicLong lastLoggedAt = new AtomicLong(System.nanoTime() - LOG_INTERVAL_NANOS);
 
-    Invariant(String labelValue) {
-        this.labelValue = labelValue;
+    Invariant(String label) {
+        this.label = label;
     }
 
-    @Override
-    public String labelValue() {
-        return labelValue;
+    /** The invariant's name in {@code /metrics}. It is an external name and must not change. */
+    public String label() {
+        return label;
     }
 
     /**
@@ -52,7 +52,7 @@
      * @param detail what happened
      */
     public void reportViolation(String subject, String detail) {
-        Metrics.increment(Metric.INVARIANT_VIOLATIONS, this);
+        Metrics.increment(Metric.INVARIANT_VIOLATIONS, label);
         long now = System.nanoTime();
         long last = lastLoggedAt.get();
         if (now - last >= LOG_INTERVAL_NANOS && lastLoggedAt.compareAndSet(last, now)) {
--- a/node/src/main/java/fawnlb/metrics/Metrics.java
+++ b/node/src/main/java/fawnlb/metrics/Metrics.java
@@ -32,11 +32,6 @@
                 .increment();
     }
 
-    /** Adds one to a counter. */
-    public static void increment(Metric metric, LabelValue labelValue) {
-        increment(metric, labelValue.labelValue());
-    }
-
     /** Returns one counter, 0 if it was never incremented. */
     public static long value(Metric metric, String labelValue) {
         LongAdder counter = COUNTERS.get(new Series(metric, labelValue));
--- a/node/src/test/java/fawnlb/metrics/MetricsTest.java
+++ b/node/src/test/java/fawnlb/metrics/MetricsTest.java
@@ -50,7 +50,7 @@
     @Test
     public void invariantsAreCountedUnderTheirNamesInLowerCase() {
         for (Invariant invariant : Invariant.values()) {
-            assertEquals(invariant.name().toLowerCase(Locale.ROOT), invariant.labelValue());
+            assertEquals(invariant.name().toLowerCase(Locale.ROOT), invariant.label());
         }
     }
 
