--- a/node/src/main/java/fawnlb/proxy/AttemptObstacle.java
+++ b/node/src/main/java/fawnlb/proxy/AttemptObstacle.java
@@ -2,8 +2,6 @@
 
 /** Why an attempt that the load balancer asked for is not started. */
 enum AttemptObstacle {
-    /** Nothing stands in the way. */
-    NONE,
     /** The request is no longer open. */
     UNKNOWN_REQUEST,
     /** The client has its final answer or has left. */
--- a/node/src/main/java/fawnlb/proxy/AttemptStarter.java
+++ b/node/src/main/java/fawnlb/proxy/AttemptStarter.java
@@ -10,6 +10,7 @@
 import fawnlb.metrics.Invariant;
 import fawnlb.stream.EndReason;
 import java.util.List;
+import java.util.Optional;
 import java.util.logging.Logger;
 
 /**
@@ -42,29 +43,30 @@
      * @param request the request that the action names, {@code null} if it is no longer open
      */
     void start(LoadBalancerAction.StartAttempt action, ProxiedRequest request) {
-        AttemptObstacle obstacle = findObstacle(request);
+        Optional<AttemptObstacle> obstacle = findObstacle(request);
+        if (obstacle.isEmpty()) {
+            sendToBackend(action, request);
+            return;
+        }
         Invariant.ONE_ATTEMPT_AT_A_TIME.check(
-                obstacle != AttemptObstacle.ATTEMPT_ACTIVE,
+                obstacle.get() != AttemptObstacle.ATTEMPT_ACTIVE,
                 () -> request.describe(),
                 "another attempt was asked for while one is active");
-        if (obstacle == AttemptObstacle.NONE) {
-            sendToBackend(action, request);
-        } else {
-            reportNotSent(action, request);
-        }
+        reportNotSent(action, request);
     }
 
-    private AttemptObstacle findObstacle(ProxiedRequest request) {
+    /** Returns the first obstacle to another attempt, empty if it may be started. */
+    private Optional<AttemptObstacle> findObstacle(ProxiedRequest request) {
         if (request == null) {
-            return AttemptObstacle.UNKNOWN_REQUEST;
+            return Optional.of(AttemptObstacle.UNKNOWN_REQUEST);
         }
         if (request.isAnswered()) {
-            return AttemptObstacle.ALREADY_ANSWERED;
+            return Optional.of(AttemptObstacle.ALREADY_ANSWERED);
         }
         if (request.hasActiveAttempt()) {
-            return AttemptObstacle.ATTEMPT_ACTIVE;
+            return Optional.of(AttemptObstacle.ATTEMPT_ACTIVE);
         }
-        return hasAttemptsLeft(request) ? AttemptObstacle.NONE : AttemptObstacle.ATTEMPT_LIMIT_REACHED;
+        return hasAttemptsLeft(request) ? Optional.empty() : Optional.of(AttemptObstacle.ATTEMPT_LIMIT_REACHED);
     }
 
     private boolean hasAttemptsLeft(ProxiedRequest request) {
@@ -77,7 +79,7 @@
         boolean answered = request == null || request.isAnswered();
         LoadBalancerEvent.AttemptEnded event = new LoadBalancerEvent.AttemptEnded(
                 action.requestId(), number, action.endpointId(), AttemptOutcome.NEVER_SENT, answered, 0, 0, List.of());
-        context.mailbox().tellAlways(() -> notifier.notify(event));
+        context.mailbox().tellAlways(() -> notifier.report(event));
     }
 
     private void sendToBackend(LoadBalancerAction.StartAttempt action, ProxiedRequest request) {
--- a/node/src/main/java/fawnlb/proxy/BackgroundActions.java
+++ b/node/src/main/java/fawnlb/proxy/BackgroundActions.java
@@ -39,7 +39,7 @@
     void setTimer(LoadBalancerAction.SetTimer action) {
         LoadBalancerEvent fired = new LoadBalancerEvent.TimerFired(action.token());
         timers.schedule(
-                action.dueAt() - timers.now(), () -> context.mailbox().tellAlways(() -> notifier.notify(fired)));
+                action.dueAt() - timers.now(), () -> context.mailbox().tellAlways(() -> notifier.report(fired)));
     }
 
     void checkHealth(LoadBalancerAction.CheckHealth action) {
@@ -52,6 +52,6 @@
     }
 
     private void onHealthChecked(long endpointId, long startedAt, AttemptOutcome outcome, List<Double> loadReport) {
-        notifier.notify(new LoadBalancerEvent.HealthChecked(endpointId, outcome, timers.now() - startedAt, loadReport));
+        notifier.report(new LoadBalancerEvent.HealthChecked(endpointId, outcome, timers.now() - startedAt, loadReport));
     }
 }
--- a/node/src/main/java/fawnlb/proxy/FinalDeadlines.java
+++ b/node/src/main/java/fawnlb/proxy/FinalDeadlines.java
@@ -53,6 +53,7 @@
             return;
         }
         boolean shutdown = timers.now() >= shutdownDeadline;
+        // The lab's soak report and the operators' pages search the log for the words "had no answer at its deadline".
         LogLine line = request.logLine(
                 shutdown ? "request answered at the shutdown deadline" : "request had no answer at its deadline");
         LOG.warning(line.with("attempts", request.attemptCount())
--- a/node/src/main/java/fawnlb/proxy/LoadBalancerNotifier.java
+++ b/node/src/main/java/fawnlb/proxy/LoadBalancerNotifier.java
@@ -27,7 +27,7 @@
 
     void requestArrived(ProxiedRequest request) {
         IncomingRequest incoming = request.incoming();
-        notify(new LoadBalancerEvent.RequestArrived(
+        report(new LoadBalancerEvent.RequestArrived(
                 request.id(),
                 incoming.classIndex(),
                 incoming.tenantIndex(),
@@ -44,12 +44,12 @@
     }
 
     void responseStarted(ProxiedRequest request, ActiveAttempt attempt) {
-        notify(new LoadBalancerEvent.ResponseStarted(
+        report(new LoadBalancerEvent.ResponseStarted(
                 request.id(), attempt.number(), attempt.endpointId(), timers.now() - attempt.startedAt()));
     }
 
     void attemptEnded(ProxiedRequest request, ActiveAttempt attempt, AttemptResult result) {
-        notify(new LoadBalancerEvent.AttemptEnded(
+        report(new LoadBalancerEvent.AttemptEnded(
                 request.id(),
                 attempt.number(),
                 attempt.endpointId(),
@@ -61,11 +61,11 @@
     }
 
     void clientDisconnected(ProxiedRequest request) {
-        notify(new LoadBalancerEvent.ClientDisconnected(request.id()));
+        report(new LoadBalancerEvent.ClientDisconnected(request.id()));
     }
 
     /** Passes on an event that was made elsewhere. */
-    void notify(LoadBalancerEvent event) {
+    void report(LoadBalancerEvent event) {
         loadBalancer.onEvent(timers.now(), event);
     }
 }
--- a/node/src/main/java/fawnlb/proxy/RequestProxy.java
+++ b/node/src/main/java/fawnlb/proxy/RequestProxy.java
@@ -112,7 +112,7 @@
     /** Passes a change of the endpoint list on to the load balancer. Changes must come in their order. */
     @ThreadSafe
     public void onEndpointsUpdated(LoadBalancerEvent.EndpointsUpdated update) {
-        mailbox.tellAlways(() -> notifier.notify(update));
+        mailbox.tellAlways(() -> notifier.report(update));
     }
 
     private void admit(ProxiedRequest request) {
