--- a/node/src/test/java/fawnlb/CapturedLog.java
+++ b/node/src/test/java/fawnlb/CapturedLog.java
@@ -6,7 +6,7 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** What is logged under a name, from its making to its end. */
+/** Captures the messages that are logged under a logger's name, from its creation until it is closed. */
 public final class CapturedLog extends Handler implements AutoCloseable {
     private final Logger logger;
     private final List<String> lines = new CopyOnWriteArrayList<>();
--- a/node/src/test/java/fawnlb/proxy/FinalAnswersTest.java
+++ b/node/src/test/java/fawnlb/proxy/FinalAnswersTest.java
@@ -4,6 +4,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
+import fawnlb.CapturedLog;
 import fawnlb.decision.LoadBalancerAction.RejectRequest;
 import fawnlb.decision.LoadBalancerEvent.ClientDisconnected;
 import fawnlb.metrics.Metric;
@@ -47,6 +48,18 @@
         assertEquals(List.of("forward 7", "failed broken-before-head"), harness.observed);
     }
 
+    @Test
+    public void missedDeadlineIsLoggedWithTheClientsRequestId() {
+        try (CapturedLog log = new CapturedLog(FinalDeadlines.class.getName())) {
+            reachFinalDeadlineAfter(EndReason.CONNECTION_LOST);
+
+            assertEquals(
+                    List.of("request had no answer at its deadline"
+                            + " request_id=r-1 sequence=1 attempts=1 active_attempts=0"),
+                    log.lines());
+        }
+    }
+
     @Test
     public void finalDeadlineRejectsRequestThatNeverRan() {
         reachFinalDeadlineAfter(EndReason.NOT_ACCEPTED);
--- a/node/src/test/java/fawnlb/proxy/RequestProxyHarness.java
+++ b/node/src/test/java/fawnlb/proxy/RequestProxyHarness.java
@@ -26,6 +26,9 @@
     /** How long the client of {@link #submit()} waits for its response to begin. */
     static final long CLIENT_TIMEOUT_NANOS = 100 * MS;
 
+    /** The id that clients give their requests. */
+    static final String CLIENT_REQUEST_ID = "r-1";
+
     /** What backends and clients were asked to do, in order. */
     final List<String> observed = new ArrayList<>();
 
@@ -105,7 +108,8 @@
     }
 
     RequestProxy.RequestHandle submit(RecordingClient client, long timeoutNanos) {
-        return proxy.submit(new IncomingRequest(0, 0, 1, 0, timeoutNanos, 1, 0, 1, false, null), client);
+        return proxy.submit(
+                new IncomingRequest(0, 0, 1, 0, timeoutNanos, 1, 0, 1, false, () -> CLIENT_REQUEST_ID), client);
     }
 
     LoadBalancerEvent lastEvent() {
