--- a/node/src/main/java/fawnlb/client/Listener.java
+++ b/node/src/main/java/fawnlb/client/Listener.java
@@ -3,8 +3,6 @@
 import fawnlb.eventloop.Timers;
 import fawnlb.eventloop.UncaughtErrorHandler;
 import fawnlb.metrics.LogLine;
-import fawnlb.metrics.Metric;
-import fawnlb.metrics.Metrics;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/node/src/test/java/fawnlb/discovery/DiscoveryClientTest.java
+++ b/node/src/test/java/fawnlb/discovery/DiscoveryClientTest.java
@@ -4,8 +4,8 @@
 import static org.junit.Assert.assertNull;
 
 import fawnlb.decision.EndpointUpdateKind;
-import fawnlb.metrics.Metrics;
 import fawnlb.metrics.Metric;
+import fawnlb.metrics.Metrics;
 import java.io.IOException;
 import java.util.List;
 import org.junit.After;
--- a/node/src/test/java/fawnlb/server/RequestProxyingTest.java
+++ b/node/src/test/java/fawnlb/server/RequestProxyingTest.java
@@ -402,7 +402,7 @@
     /** A line for each of them was 900 a second once, and hid all others. */
     @Test
     public void repeatedDiscoveryFailureIsLoggedOnce() throws Exception {
-        try (CapturedLog log = new CapturedLog("fawnlb.discovery.DiscoveryClient");
+        try (CapturedLog log = new CapturedLog("fawnlb.discovery.DiscoveryFailureLog");
                 FakeHttpServer discovery =
                         new FakeHttpServer((request, socket) -> write(socket, responseHead(503, NO_BODY)));
                 ServerHarness harness =
