--- a/node/src/main/java/fawnlb/policy/AttemptTimeouts.java
+++ b/node/src/main/java/fawnlb/policy/AttemptTimeouts.java
@@ -11,7 +11,7 @@
     /** Half of the first-token objective is left for the retry. */
     static final double FIRST_ATTEMPT_OBJECTIVE_FRACTION = 0.5;
     /** Six times the usual latency is silence; less may be a long prompt. */
-    static final double USUAL_LATENCY_MULTIPLE = 6;
+    static final double BASELINE_LATENCY_MULTIPLE = 6;
 
     private final RetryBudget budget;
     private final LatencyTracker latency;
@@ -29,7 +29,7 @@
                 && readyEndpoints > 1;
         double timeout = Math.max(
                 FIRST_ATTEMPT_OBJECTIVE_FRACTION * request.firstTokenObjectiveNanos,
-                USUAL_LATENCY_MULTIPLE * latency.usualNanos());
+                BASELINE_LATENCY_MULTIPLE * latency.baselineNanos());
         boolean isEarly = canRetryElsewhere && timeout < request.lastUsefulAt - now;
         return isEarly ? now + (long) timeout : request.lastUsefulAt;
     }
--- a/node/src/main/java/fawnlb/policy/HotKeySpreader.java
+++ b/node/src/main/java/fawnlb/policy/HotKeySpreader.java
@@ -17,16 +17,16 @@
     /** Places collide by chance: from this fraction of the endpoints on, each session is a place of its own. */
     static final double MAX_PLACES_FRACTION = 0.25;
     /** Requests that are remembered for each endpoint, about what a small share of a prefix shows in. */
-    static final int REMEMBERED_PER_ENDPOINT = 8;
+    static final int RECENT_REQUESTS_PER_ENDPOINT = 8;
     /** The least number of endpoints that requests are remembered for. */
-    static final int MIN_REMEMBERED_ENDPOINTS = 16;
+    static final int MIN_ENDPOINTS_FOR_RECENT_REQUESTS = 16;
 
     private final RecentKeys recent = new RecentKeys();
 
     /** Remembers a request that has arrived. */
     void record(ActiveRequest request, int readyEndpoints) {
-        int remembered = REMEMBERED_PER_ENDPOINT * Math.max(MIN_REMEMBERED_ENDPOINTS, readyEndpoints);
-        recent.add(request.placementKey, request.work, remembered);
+        int maxRequests = RECENT_REQUESTS_PER_ENDPOINT * Math.max(MIN_ENDPOINTS_FOR_RECENT_REQUESTS, readyEndpoints);
+        recent.add(request.placementKey, request.work, maxRequests);
     }
 
     /** The key by which a request is placed on the ring, given how many endpoints there are. */
--- a/node/src/main/java/fawnlb/policy/IdempotencyRules.java
+++ b/node/src/main/java/fawnlb/policy/IdempotencyRules.java
@@ -22,8 +22,8 @@
         if (requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT) {
             return false;
         }
-        boolean keyIsRemembered = now - first.startedAt < requestClass.idempotencyWindowNanos();
-        return keyIsRemembered && sharesKeys(first.endpoint, endpoint, requestClass);
+        boolean isKeyInWindow = now - first.startedAt < requestClass.idempotencyWindowNanos();
+        return isKeyInWindow && sharesKeys(first.endpoint, endpoint, requestClass);
     }
 
     /** Whether two endpoints drop repeats of each other's requests. */
--- a/node/src/main/java/fawnlb/policy/LatencyTracker.java
+++ b/node/src/main/java/fawnlb/policy/LatencyTracker.java
@@ -15,11 +15,11 @@
     static final double NEGLIGIBLE_OBJECTIVE_FRACTION = 0.05;
 
     /** Samples over which the usual latency of all endpoints is averaged. */
-    private static final int USUAL_SAMPLES = 64;
+    private static final int BASELINE_SAMPLES = 64;
     /** Samples over which the latency of one endpoint is averaged. */
     private static final int ENDPOINT_SAMPLES = 8;
 
-    private double usualNanos;
+    private double baselineNanos;
 
     void onRestart(EndpointState endpoint) {
         endpoint.firstTokenLatencyNanos = 0;
@@ -48,24 +48,24 @@
      * counts as {@link #SLOW_MULTIPLE} times the usual at most.
      */
     void record(EndpointState endpoint, double elapsedNanos) {
-        if (usualNanos == 0) {
-            usualNanos += elapsedNanos;
+        if (baselineNanos == 0) {
+            baselineNanos += elapsedNanos;
         } else {
-            usualNanos += (Math.min(elapsedNanos, SLOW_MULTIPLE * usualNanos) - usualNanos) / USUAL_SAMPLES;
+            baselineNanos += (Math.min(elapsedNanos, SLOW_MULTIPLE * baselineNanos) - baselineNanos) / BASELINE_SAMPLES;
         }
         endpoint.firstTokenLatencyNanos += (elapsedNanos - endpoint.firstTokenLatencyNanos) / ENDPOINT_SAMPLES;
     }
 
     /** What first tokens take over all endpoints; 0 as long as none has come. */
-    double usualNanos() {
-        return usualNanos;
+    double baselineNanos() {
+        return baselineNanos;
     }
 
     /** The fraction of its bound that an endpoint may use, for a request with this first-token objective. */
     double capacityFraction(EndpointState endpoint, double objectiveNanos, long now) {
         long silentNanos = endpoint.awaitingFirstToken > 0 ? now - endpoint.silentSince : 0;
         double latency = Math.max(endpoint.firstTokenLatencyNanos, silentNanos);
-        double bearable = SLOW_MULTIPLE * Math.max(usualNanos, NEGLIGIBLE_OBJECTIVE_FRACTION * objectiveNanos);
+        double bearable = SLOW_MULTIPLE * Math.max(baselineNanos, NEGLIGIBLE_OBJECTIVE_FRACTION * objectiveNanos);
         return latency <= bearable ? 1 : bearable / latency;
     }
 }
--- a/node/src/main/java/fawnlb/policy/OrderStatistics.java
+++ b/node/src/main/java/fawnlb/policy/OrderStatistics.java
@@ -1,15 +1,15 @@
 package fawnlb.policy;
 
-/** The value that stands at a place of an array in ascending order, found without sorting all of it. */
+/** Finds order statistics, such as the median, without sorting all values. */
 final class OrderStatistics {
     private OrderStatistics() {}
 
-    /** The upper median of the first {@code count} values, which are reordered; {@code count} is above 0. */
+    /** Returns the upper median of the first {@code count} values, which it reorders; {@code count} must be above 0. */
     static double upperMedian(double[] values, int count) {
         return quickselect(values, count, count / 2);
     }
 
-    /** Hoare's quickselect. */
+    /** Returns the value with this rank, counted from 0, by Hoare's quickselect. */
     private static double quickselect(double[] values, int count, int rank) {
         int low = 0;
         int high = count - 1;
--- a/node/src/main/java/fawnlb/policy/RecentKeys.java
+++ b/node/src/main/java/fawnlb/policy/RecentKeys.java
@@ -4,42 +4,43 @@
 import java.util.Map;
 
 /**
- * What the last requests asked for, by key: how much of their work each key drew. Only keys and figures are kept, since
- * a router before a large fleet remembers tens of thousands of requests.
+ * The keys of the most recent requests, and the fraction of their work that each key accounts for. It holds keys and
+ * numbers only, since an instance in front of a large fleet tracks tens of thousands of requests.
  */
 final class RecentKeys {
-    private static final int FIRST_CAPACITY = 128;
+    private static final int INITIAL_CAPACITY = 128;
 
-    /** Sums over the kept requests of one key. */
+    /** Totals over the tracked requests of one key. */
     private static final class KeyTotal {
         private double work;
-        private int requests;
+        private int requestCount;
     }
 
-    private long[] keys = new long[FIRST_CAPACITY];
-    private double[] workByIndex = new double[FIRST_CAPACITY];
-    /** Where the oldest stands in both arrays, which are used round and round. */
+    private long[] keys = new long[INITIAL_CAPACITY];
+    private double[] workByIndex = new double[INITIAL_CAPACITY];
+    /** The index of the oldest request in both arrays, which are ring buffers. */
     private int oldestIndex;
 
     private int size;
-    private final Map<Long, KeyTotal> sums = new HashMap<>();
+    private final Map<Long, KeyTotal> totals = new HashMap<>();
     private double totalWork;
 
+    /** The number of tracked requests. */
     int size() {
         return size;
     }
 
-    /** The part of all kept work that requests of this key drew; 0 if there was none. */
+    /** The fraction of all tracked work that belongs to this key; 0 if none does. */
     double workFraction(long key) {
-        KeyTotal total = sums.get(key);
+        KeyTotal total = totals.get(key);
         return total == null ? 0 : total.work / totalWork;
     }
 
     boolean contains(long key) {
-        return sums.containsKey(key);
+        return totals.containsKey(key);
     }
 
-    /** Keeps one more, and no more than so many. */
+    /** Tracks one more request, and drops the oldest ones beyond the given number. */
     void add(long key, double work, int maxRequests) {
         if (size == keys.length) {
             grow();
@@ -47,9 +48,9 @@
         int index = (oldestIndex + size++) % keys.length;
         keys[index] = key;
         workByIndex[index] = work;
-        KeyTotal total = sums.computeIfAbsent(key, k -> new KeyTotal());
+        KeyTotal total = totals.computeIfAbsent(key, k -> new KeyTotal());
         total.work += work;
-        total.requests++;
+        total.requestCount++;
         totalWork += work;
         while (size > maxRequests) {
             evictOldest();
@@ -61,11 +62,11 @@
         double work = workByIndex[oldestIndex];
         oldestIndex = (oldestIndex + 1) % keys.length;
         size--;
-        KeyTotal total = sums.get(key);
+        KeyTotal total = totals.get(key);
         total.work -= work;
         totalWork -= work;
-        if (--total.requests == 0) {
-            sums.remove(key);
+        if (--total.requestCount == 0) {
+            totals.remove(key);
         }
     }
 
--- a/node/src/test/java/fawnlb/policy/AdmissionControllerTest.java
+++ b/node/src/test/java/fawnlb/policy/AdmissionControllerTest.java
@@ -116,7 +116,7 @@
     }
 
     @Test
-    public void sameSessionsAreShedAgain() {
+    public void shedSessionsStayTheSame() {
         recordStreams(64, S);
         recordStreams(300, 4 * S);
         List<Long> first = shedSessions();
@@ -128,8 +128,8 @@
     public void tenantAboveItsShareIsShedMore() {
         recordStreams(64, S);
         recordStreams(300, 4 * S);
-        int usual = shedSessions().size();
+        int unknownTenant = shedSessions().size();
         int flooding = shedSessions(0).size();
-        assertTrue(flooding + " and " + usual, flooding > 1.5 * usual);
+        assertTrue(flooding + " and " + unknownTenant, flooding > 1.5 * unknownTenant);
     }
 }
--- a/node/src/test/java/fawnlb/policy/DiscoveryWatchTest.java
+++ b/node/src/test/java/fawnlb/policy/DiscoveryWatchTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void watchThatIsOpenIsNotOpenedAgain() {
+    public void openWatchIsNotReopened() {
         watch.onUpdate(EndpointUpdateKind.CACHED, NOW);
         assertEquals(OptionalLong.empty(), watch.onUpdate(EndpointUpdateKind.FULL, NOW));
         assertFalse(watch.isDue(NOW + 100 * S));
--- a/node/src/test/java/fawnlb/policy/HashRingTest.java
+++ b/node/src/test/java/fawnlb/policy/HashRingTest.java
@@ -1,10 +1,8 @@
 package fawnlb.policy;
 
 import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -71,30 +69,4 @@
         add(2);
         assertSameAsSortedMap();
     }
-
-    @Test
-    public void upperMedianMatchesSortedValues() {
-        for (int count = 1; count < 200; count++) {
-            double[] values = random.doubles(count).map(x -> Math.floor(x * 20)).toArray();
-            double[] sorted = values.clone();
-            Arrays.sort(sorted);
-            assertEquals(sorted[count / 2], OrderStatistics.upperMedian(Arrays.copyOf(values, count + 3), count), 0);
-        }
-    }
-
-    @Test
-    public void recentKeysSumTheWorkOfTheLastRequests() {
-        RecentKeys recent = new RecentKeys();
-        for (int i = 0; i < 1000; i++) {
-            recent.add(i % 4, 1 + i % 4, 400);
-        }
-        assertEquals(400, recent.size());
-        assertEquals(0.1, recent.workFraction(0), 1e-9);
-        assertEquals(0.4, recent.workFraction(3), 1e-9);
-        for (int i = 0; i < 400; i++) {
-            recent.add(9, 1, 400);
-        }
-        assertEquals(1, recent.workFraction(9), 1e-9);
-        assertTrue(recent.contains(9) && !recent.contains(3));
-    }
 }
--- a/node/src/test/java/fawnlb/policy/LatencyTrackerTest.java
+++ b/node/src/test/java/fawnlb/policy/LatencyTrackerTest.java
@@ -11,7 +11,7 @@
 public class LatencyTrackerTest {
     private static final double OBJECTIVE = S;
     private final LatencyTracker tracker = new LatencyTracker();
-    private final EndpointState usual = PolicyFixtures.endpoint(1);
+    private final EndpointState ordinary = PolicyFixtures.endpoint(1);
     private final EndpointState slow = PolicyFixtures.endpoint(2);
 
     private void record(EndpointState endpoint, int samples, long nanos) {
@@ -25,24 +25,24 @@
     }
 
     @Test
-    public void firstSampleIsTheUsualLatency() {
-        tracker.record(usual, 100 * MS);
-        assertEquals(100 * MS, tracker.usualNanos(), 0);
+    public void firstSampleIsTheBaseline() {
+        tracker.record(ordinary, 100 * MS);
+        assertEquals(100 * MS, tracker.baselineNanos(), 0);
     }
 
     @Test
-    public void slowEndpointUsesLessInProportionAndMovesTheUsualLatencyLittle() {
-        record(usual, 200, 100 * MS);
+    public void slowEndpointUsesLessInProportionAndMovesTheBaselineLittle() {
+        record(ordinary, 200, 100 * MS);
         record(slow, 1, 10 * S);
-        assertTrue("" + tracker.usualNanos(), tracker.usualNanos() < 102 * MS);
-        assertEquals(1, fraction(usual, NOW), 0);
-        assertEquals(2 * tracker.usualNanos() / slow.firstTokenLatencyNanos, fraction(slow, NOW), 0);
+        assertTrue("" + tracker.baselineNanos(), tracker.baselineNanos() < 102 * MS);
+        assertEquals(1, fraction(ordinary, NOW), 0);
+        assertEquals(2 * tracker.baselineNanos() / slow.firstTokenLatencyNanos, fraction(slow, NOW), 0);
         assertTrue(fraction(slow, NOW) < 0.2);
     }
 
     @Test
-    public void usualFirstTokensEndTheSlowness() {
-        record(usual, 200, 100 * MS);
+    public void ordinaryFirstTokensEndTheSlowness() {
+        record(ordinary, 200, 100 * MS);
         record(slow, 1, 10 * S);
         record(slow, 40, 100 * MS);
         assertEquals(1, fraction(slow, NOW), 0);
@@ -50,7 +50,7 @@
 
     @Test
     public void restartForgetsTheLatencyOfTheEndpoint() {
-        record(usual, 200, 100 * MS);
+        record(ordinary, 200, 100 * MS);
         record(slow, 1, 10 * S);
         tracker.onRestart(slow);
         assertEquals(1, fraction(slow, NOW), 0);
@@ -58,14 +58,14 @@
 
     @Test
     public void latencyBelowPartOfTheObjectiveDoesNotMatter() {
-        record(usual, 200, MS);
+        record(ordinary, 200, MS);
         record(slow, 100, 90 * MS);
         assertEquals(1, fraction(slow, NOW), 0);
     }
 
     @Test
     public void silenceShrinksTheFractionUntilTheEndpointActs() {
-        record(usual, 200, 100 * MS);
+        record(ordinary, 200, 100 * MS);
         tracker.onAttemptStarted(slow, NOW);
         tracker.onAttemptStarted(slow, NOW + S);
         assertEquals(1, fraction(slow, NOW + 150 * MS), 0);
--- a/node/src/test/java/fawnlb/policy/LoadAdaptationTest.java
+++ b/node/src/test/java/fawnlb/policy/LoadAdaptationTest.java
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void lateFirstTokensShedSessionsUntilTheyAreTimelyAgain() {
+    void lateFirstTokensShedSessionsUntilTheyRecover() {
         LoadBalancerHarness harness =
                 new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
         run(harness, 100, 900 * MS, S);
--- a/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
+++ b/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
@@ -326,9 +326,9 @@
         host.list(EndpointUpdateKind.FILTERED, endpoint(2, EndpointPhase.DRAINING, 0));
         host.list(EndpointUpdateKind.FAILED);
         host.play(10 * S, Traffic.steady(20));
-        host.tell(new TimerFired(0));
+        host.handle(new TimerFired(0));
         host.list(EndpointUpdateKind.TIMED_OUT);
-        host.tell(new TimerFired(0));
+        host.handle(new TimerFired(0));
         host.play(10 * S, Traffic.steady(20));
         assertEquals("916 762cae830f3c2e9edb765c65811aecbadededda0ae4c7809ccc45d510a699cda", host.result());
     }
@@ -411,14 +411,14 @@
                         true,
                         true));
             }
-            host.tell(new LoadBalancerEvent.AttemptEnded(id, 3, 1, AttemptOutcome.SERVED, true, 1, 0, List.of()));
-            host.tell(new LoadBalancerEvent.ResponseStarted(id, 3, 1, 1));
-            host.tell(new LoadBalancerEvent.AttemptEnded(5, 0, 1, AttemptOutcome.SERVED, true, 1, 0, List.of()));
-            host.tell(new LoadBalancerEvent.ResponseStarted(5, 0, 1, 1));
-            host.tell(new LoadBalancerEvent.ClientDisconnected(5));
-            host.tell(new LoadBalancerEvent.PeerMessage(1, new byte[3]));
-            host.tell(new LoadBalancerEvent.HealthChecked(1, AttemptOutcome.SERVED, 1, List.of(Double.NaN)));
-            host.tell(new TimerFired(-7));
+            host.handle(new LoadBalancerEvent.AttemptEnded(id, 3, 1, AttemptOutcome.SERVED, true, 1, 0, List.of()));
+            host.handle(new LoadBalancerEvent.ResponseStarted(id, 3, 1, 1));
+            host.handle(new LoadBalancerEvent.AttemptEnded(5, 0, 1, AttemptOutcome.SERVED, true, 1, 0, List.of()));
+            host.handle(new LoadBalancerEvent.ResponseStarted(5, 0, 1, 1));
+            host.handle(new LoadBalancerEvent.ClientDisconnected(5));
+            host.handle(new LoadBalancerEvent.PeerMessage(1, new byte[3]));
+            host.handle(new LoadBalancerEvent.HealthChecked(1, AttemptOutcome.SERVED, 1, List.of(Double.NaN)));
+            host.handle(new TimerFired(-7));
             host.play(100 * MS, Traffic.steady(100));
         }
         host.pass(10 * S);
--- a/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
+++ b/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
@@ -267,7 +267,7 @@
     }
 
     @Test
-    void endpointRestartedUnderItsIdIsInSlowStartAgain() {
+    void restartUnderTheSameIdBeginsSlowStart() {
         LoadBalancerHarness harness =
                 new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(3);
         long home = harness.primaryEndpoint(4);
--- a/node/src/test/java/fawnlb/policy/SimulatedHost.java
+++ b/node/src/test/java/fawnlb/policy/SimulatedHost.java
@@ -126,12 +126,12 @@
         return digest.result();
     }
 
-    void tell(LoadBalancerEvent event) {
+    void handle(LoadBalancerEvent event) {
         module.onEvent(now, event);
     }
 
     void list(EndpointUpdateKind kind, Endpoint... entries) {
-        tell(new EndpointsUpdated(kind, 1, List.of(entries)));
+        handle(new EndpointsUpdated(kind, 1, List.of(entries)));
     }
 
     void after(long nanos, Runnable what) {
@@ -196,14 +196,14 @@
 
     void arrive(RequestArrived request) {
         exchanges.put(request.requestId(), new Exchange(request));
-        tell(request);
+        handle(request);
     }
 
     private void leave(long id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null) {
             exchange.answered = true;
-            tell(new ClientDisconnected(id));
+            handle(new ClientDisconnected(id));
         }
     }
 
@@ -221,7 +221,7 @@
         } else if (action instanceof FailRequest fail) {
             answer(fail.requestId(), false);
         } else if (action instanceof SetTimer timer) {
-            after(Math.max(0, timer.dueAt() - now), () -> tell(new TimerFired(timer.token())));
+            after(Math.max(0, timer.dueAt() - now), () -> handle(new TimerFired(timer.token())));
         } else if (action instanceof WatchEndpoints) {
             answerSubscription();
         }
@@ -230,14 +230,14 @@
     private void answerSubscription() {
         EndpointUpdateKind kind = discoveryAnswers.isEmpty() ? EndpointUpdateKind.FULL : discoveryAnswers.poll();
         long delay = kind == EndpointUpdateKind.THROTTLED || kind == EndpointUpdateKind.TIMED_OUT ? S : MS;
-        after(delay, () -> tell(new EndpointsUpdated(kind, 1, kind.isFailure() ? List.of() : listed)));
+        after(delay, () -> handle(new EndpointsUpdated(kind, 1, kind.isFailure() ? List.of() : listed)));
     }
 
     /** The final answer to a request; half of the clients that are rejected come again. */
-    private void answer(long id, boolean comesAgain) {
+    private void answer(long id, boolean mayRetry) {
         Exchange exchange = exchanges.get(id);
         exchange.answered = true;
-        if (comesAgain && !exchange.request.isRetry() && random.nextBoolean()) {
+        if (mayRetry && !exchange.request.isRetry() && random.nextBoolean()) {
             RequestArrived first = exchange.request;
             after(
                     300 * MS,
@@ -285,13 +285,13 @@
     }
 
     private void timeOut(Running attempt) {
-        long patience = attempt.send.deadline() - now;
+        long timeoutNanos = attempt.send.deadline() - now;
         after(
-                patience,
+                timeoutNanos,
                 () -> end(
                         attempt,
                         random.nextInt(4) == 0 ? AttemptOutcome.STALLED : AttemptOutcome.TIMEOUT,
-                        patience,
+                        timeoutNanos,
                         false));
     }
 
@@ -312,7 +312,7 @@
     private void started(Exchange exchange, Running attempt, long took) {
         if (!attempt.ended) {
             exchange.answered = true;
-            tell(new ResponseStarted(attempt.send.requestId(), attempt.number, attempt.send.endpointId(), took));
+            handle(new ResponseStarted(attempt.send.requestId(), attempt.number, attempt.send.endpointId(), took));
         }
     }
 
@@ -320,7 +320,7 @@
         if (!attempt.ended) {
             attempt.ended = true;
             boolean last = over || exchanges.get(attempt.send.requestId()).answered;
-            tell(new AttemptEnded(
+            handle(new AttemptEnded(
                     attempt.send.requestId(),
                     attempt.number,
                     attempt.send.endpointId(),
--- a/node/src/test/java/fawnlb/policy/StateRetentionTest.java
+++ b/node/src/test/java/fawnlb/policy/StateRetentionTest.java
@@ -73,13 +73,13 @@
         HashRing<?> ring = (HashRing<?>) field(field(harness.loadBalancer, "endpoints"), "ring");
         assertEquals(LIVE_ENDPOINTS * HashRing.POINTS_PER_ENDPOINT, ring.size());
         assertTrue(sizeOf(ring, "points") <= 2 * LIVE_ENDPOINTS * HashRing.POINTS_PER_ENDPOINT);
-        assertTrue("numbers of those that left are used again", sizeOf(ring, "servers") <= LIVE_ENDPOINTS + 2);
+        assertTrue("numbers of those that left are used again", sizeOf(ring, "endpoints") <= LIVE_ENDPOINTS + 2);
         assertEquals(0, sizeOf(harness.loadBalancer, "requests"));
         assertEquals(0, sizeOf(field(harness.loadBalancer, "pending"), "requests"));
         RecentKeys recent = (RecentKeys) field(field(harness.loadBalancer, "spreader"), "recent");
-        assertTrue(recent.size() <= HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
-        assertTrue(sizeOf(recent, "sums") <= HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
-        assertTrue(sizeOf(recent, "keys") <= 2 * HotKeySpreader.REMEMBERED_PER_ENDPOINT * 16);
+        assertTrue(recent.size() <= HotKeySpreader.RECENT_REQUESTS_PER_ENDPOINT * 16);
+        assertTrue(sizeOf(recent, "totals") <= HotKeySpreader.RECENT_REQUESTS_PER_ENDPOINT * 16);
+        assertTrue(sizeOf(recent, "keys") <= 2 * HotKeySpreader.RECENT_REQUESTS_PER_ENDPOINT * 16);
         assertTrue(
                 "slow starts of 9 s", sizeOf(field(harness.loadBalancer, "slowStart"), "endpoints") <= 9000 / 60 + 2);
     }
--- a/node/src/test/java/fawnlb/policy/StreamPaceTrackerTest.java
+++ b/node/src/test/java/fawnlb/policy/StreamPaceTrackerTest.java
@@ -80,15 +80,15 @@
         record(1, 400, 3 * S);
         record(3, 400, 3 * S);
         double fastest = pace.fastestKind();
-        long kept = LongStream.range(0, 10_000)
+        long keptKeys = LongStream.range(0, 10_000)
                 .filter(key -> pace.keepsKey(endpoint(1), key, fastest))
                 .count();
-        assertEquals(10_000 / 3.0, kept, 500);
+        assertEquals(10_000 / 3.0, keptKeys, 500);
         assertTrue(LongStream.range(0, 10_000).allMatch(key -> pace.keepsKey(endpoint(0), key, fastest)));
     }
 
     @Test
-    public void bestMedianIsKeptWhenStreamsSlowDown() {
+    public void bestMedianStandsWhenStreamsSlowDown() {
         for (int id = 0; id < ENDPOINTS; id++) {
             record(id, 64, S);
         }
