--- a/node/src/main/java/fawnlb/decision/Endpoint.java
+++ b/node/src/main/java/fawnlb/decision/Endpoint.java
@@ -1,22 +1,33 @@
 package fawnlb.decision;
 
 /**
- * A replica as listed. {@code startedAt}: when it last started, 0 if long ago; {@code capacity}: how many of this
- * router's requests may await their first token there, {@link #UNLIMITED_CAPACITY} where nothing limits them.
+ * A server as the endpoint list names it.
+ *
+ * @param id identifies the endpoint, also after a restart
+ * @param startedAt when it last started, on the host's clock; 0 if long ago
+ * @param size its capacity relative to others of its kind
+ * @param zone the number of its zone, see {@link LoadBalancerSettings.Names#zones}
+ * @param cell the number of its cell within the zone
+ * @param kind the number of its kind of hardware, see {@link LoadBalancerSettings.Names#kinds}
+ * @param capacity how many requests of this instance may await their first token there at a time, or
+ *     {@link #UNLIMITED_CAPACITY}
  */
 public record Endpoint(
         long id, EndpointPhase phase, long startedAt, double size, int zone, int cell, int kind, int capacity) {
+    /** The capacity of an endpoint that nothing limits. */
     public static final int UNLIMITED_CAPACITY = Integer.MAX_VALUE;
 
-    /** A replica as discovery lists it. */
-    public Endpoint(long id, EndpointPhase phase, long readyAt, double size, int zone, int cell, int kind) {
-        this(id, phase, readyAt, size, zone, cell, kind, UNLIMITED_CAPACITY);
+    /** An endpoint without a limit of its capacity, as discovery lists it. */
+    public Endpoint(long id, EndpointPhase phase, long startedAt, double size, int zone, int cell, int kind) {
+        this(id, phase, startedAt, size, zone, cell, kind, UNLIMITED_CAPACITY);
     }
 
+    /** The same endpoint with another capacity. */
     public Endpoint withCapacity(int capacity) {
         return new Endpoint(id, phase, startedAt, size, zone, cell, kind, capacity);
     }
 
+    /** The same endpoint as an entry that removes it from the list. */
     public Endpoint asGone() {
         return new Endpoint(id, EndpointPhase.GONE, startedAt, size, zone, cell, kind, capacity);
     }
--- a/node/src/main/java/fawnlb/decision/EndpointUpdateKind.java
+++ b/node/src/main/java/fawnlb/decision/EndpointUpdateKind.java
@@ -1,20 +1,26 @@
 package fawnlb.decision;
 
 /**
- * What a list event brings: changed entries, the whole list, the list as last held; nothing, since a call or
- * subscription failed, had waited for its turn and was refused, or was never answered; or what a view between the list
- * and the module has changed, which says nothing of whether the list is followed.
+ * What an update of the endpoint list brings, or why it brings nothing. The simulator's wire sends the number of a
+ * constant, so that their order must not change.
  */
 public enum EndpointUpdateKind {
+    /** The entries that have changed. */
     DELTA,
+    /** The complete list, from discovery. */
     FULL,
+    /** The complete list as it was last known, from before a restart. */
     CACHED,
+    /** Nothing: a call or watch failed. */
     FAILED,
+    /** Nothing: a call waited for its turn at discovery and was rejected. */
     THROTTLED,
+    /** Nothing: a call was not answered in time. */
     TIMED_OUT,
+    /** Entries that a filter between discovery and the load balancer has changed; it says nothing of the watch. */
     FILTERED;
 
-    /** Whether nothing came, and the old list stands. */
+    /** Whether nothing came, so that the endpoints known so far stay in force. */
     public boolean isFailure() {
         return this == FAILED || this == THROTTLED || this == TIMED_OUT;
     }
--- a/node/src/main/java/fawnlb/decision/Idempotency.java
+++ b/node/src/main/java/fawnlb/decision/Idempotency.java
@@ -1,8 +1,14 @@
 package fawnlb.decision;
 
-/** May a request be run more than once? KEYED: only by replicas of one group, within a window. */
+/** Whether a request may run more than once. */
 public enum Idempotency {
+    /** It may run any number of times. */
     IDEMPOTENT,
+    /**
+     * It carries an idempotency key: it may run again within a window, on the endpoints of one
+     * {@link IdempotencyScope}.
+     */
     IDEMPOTENCY_KEY,
+    /** It may run once. */
     NOT_IDEMPOTENT
 }
--- a/node/src/main/java/fawnlb/decision/IdempotencyScope.java
+++ b/node/src/main/java/fawnlb/decision/IdempotencyScope.java
@@ -1,8 +1,11 @@
 package fawnlb.decision;
 
-/** Which replicas drop repeats of a keyed request. */
+/** Which endpoints share idempotency keys, and so drop repeats of each other's requests. */
 public enum IdempotencyScope {
+    /** All endpoints. */
     ALL,
+    /** The endpoints of one zone. */
     ZONE,
+    /** The endpoints of one cell of one zone. */
     CELL
 }
--- a/node/src/main/java/fawnlb/decision/LoadBalancerEvent.java
+++ b/node/src/main/java/fawnlb/decision/LoadBalancerEvent.java
@@ -2,14 +2,34 @@
 
 import java.util.List;
 
-/** Anything the router tells the module. */
+/** What a host tells its load balancer. */
 public sealed interface LoadBalancerEvent {
 
-    /** News of the replica list. */
+    /**
+     * The endpoint list has changed, or could not be obtained.
+     *
+     * @param version the version of the list, as discovery numbers it
+     * @param endpoints entries as {@link EndpointUpdateKind} says
+     */
     record EndpointsUpdated(EndpointUpdateKind kind, long version, List<Endpoint> endpoints)
             implements LoadBalancerEvent {}
 
-    /** A client's request, or its next try under a new id. Absent values are 0. */
+    /**
+     * A client has sent a request. Its retry by the client is a request of its own. Values that the client did not give
+     * are 0.
+     *
+     * @param classIndex the number of its class, see {@link LoadBalancerSettings#requestClass}
+     * @param tenantIndex the number of its tenant in {@link LoadBalancerSettings#tenants}
+     * @param sessionKey a hash of the session that it belongs to
+     * @param prefixKey a hash of the beginning of its prompt, which other requests may share
+     * @param timeoutNanos how long the client waits
+     * @param workHint the client's estimate of the work
+     * @param prefixTokens how many of the prompt's tokens belong to the prefix
+     * @param maxTokens how many tokens the response may have
+     * @param hasHints whether the client gave the numbers of tokens
+     * @param isRetry whether the client has sent it before
+     * @param isResumed whether it continues an interrupted response
+     */
     record RequestArrived(
             long requestId,
             int classIndex,
@@ -26,13 +46,21 @@
             boolean isResumed)
             implements LoadBalancerEvent {}
 
-    /** The answer to an attempt has begun to stream; the client owns the attempt from here. */
+    /**
+     * The response to an attempt has started, and is passed on to the client; the request can't be retried anymore.
+     *
+     * @param elapsedNanos from the start of the attempt to its first token
+     */
     record ResponseStarted(long requestId, int attempt, long endpointId, long elapsedNanos)
             implements LoadBalancerEvent {}
 
     /**
-     * An attempt ended. {@code requestFinished}: the request has its final answer; {@code cachedPromptTokens}: prompt
-     * tokens that the replica still held; {@code loadReport}: its load report in the order of the settings, or empty.
+     * An attempt has ended.
+     *
+     * @param requestFinished whether the request has its final answer, so that no retry is wanted
+     * @param elapsedNanos from the start of the attempt to its end
+     * @param cachedPromptTokens tokens of the prompt that the endpoint had cached
+     * @param loadReport the endpoint's load in the order of {@link LoadBalancerSettings#loadReportFields}, or empty
      */
     record AttemptEnded(
             long requestId,
@@ -45,16 +73,20 @@
             List<Double> loadReport)
             implements LoadBalancerEvent {}
 
-    /** The client has left; nothing more is owed to it. */
+    /** The client of a request has disconnected; no answer is wanted. */
     record ClientDisconnected(long requestId) implements LoadBalancerEvent {}
 
-    /** The result of a probe. */
+    /**
+     * A health check has ended.
+     *
+     * @param loadReport as in {@link AttemptEnded}
+     */
     record HealthChecked(long endpointId, AttemptOutcome outcome, long elapsedNanos, List<Double> loadReport)
             implements LoadBalancerEvent {}
 
-    /** A message from another router. */
+    /** Another instance has sent a message. */
     record PeerMessage(long fromInstance, byte[] body) implements LoadBalancerEvent {}
 
-    /** A timer that the module set has come due. */
+    /** A timer that the load balancer set is due. */
     record TimerFired(int token) implements LoadBalancerEvent {}
 }
--- a/node/src/main/java/fawnlb/decision/LoadBalancerSettings.java
+++ b/node/src/main/java/fawnlb/decision/LoadBalancerSettings.java
@@ -2,7 +2,18 @@
 
 import java.util.List;
 
-/** Start settings of one router: its number, how many routers there are, its zone, and the rest. */
+/**
+ * The settings that an instance starts with; they don't change while it runs.
+ *
+ * @param instanceIndex the number of this instance, from 0
+ * @param instances how many instances there are
+ * @param zone the number of this instance's zone, see {@link Names#zones}
+ * @param tickNanos the resolution of the host's timers
+ * @param streamResumption whether an interrupted response can be continued on another endpoint
+ * @param loadReportFields the names of the values in a load report, in their order
+ * @param requestClasses by the number that requests carry
+ * @param tenants by the number that requests carry; empty where tenants have no shares
+ */
 public record LoadBalancerSettings(
         int instanceIndex,
         int instances,
@@ -20,47 +31,47 @@
         Names names,
         ConnectionTimeouts connectionTimeouts) {
 
-    /** Settings of a module without a real node round it. */
+    /** Settings without names and connections, for a host that has no sockets. */
     public LoadBalancerSettings(
-            int me,
-            int routers,
+            int instanceIndex,
+            int instances,
             int zone,
-            long tick,
-            boolean resume,
-            DiscoveryMode discovery,
-            LoadReporting reports,
-            List<String> reportFields,
-            List<RequestClass> classes,
+            long tickNanos,
+            boolean streamResumption,
+            DiscoveryMode discoveryMode,
+            LoadReporting loadReporting,
+            List<String> loadReportFields,
+            List<RequestClass> requestClasses,
             List<Tenant> tenants,
             Limits limits,
-            EndpointLifecycle rules,
+            EndpointLifecycle endpointLifecycle,
             Costs costs) {
         this(
-                me,
-                routers,
+                instanceIndex,
+                instances,
                 zone,
-                tick,
-                resume,
-                discovery,
-                reports,
-                reportFields,
-                classes,
+                tickNanos,
+                streamResumption,
+                discoveryMode,
+                loadReporting,
+                loadReportFields,
+                requestClasses,
                 tenants,
                 limits,
-                rules,
+                endpointLifecycle,
                 costs,
                 new Names(List.of(), List.of(), List.of(), List.of()),
                 new ConnectionTimeouts(0, 0));
     }
 
-    /** The class with this number, or the most careful one if there is none. */
+    /** Returns the class with this number; if there is none, one whose requests may run once and have no objective. */
     public RequestClass requestClass(int classIndex) {
         return classIndex >= 0 && classIndex < requestClasses.size()
                 ? requestClasses.get(classIndex)
                 : RequestClass.UNKNOWN;
     }
 
-    /** The same for a host whose list has to be asked for, wherever it comes from. */
+    /** Returns the same settings for a host whose load balancer has to ask for the endpoint list. */
     public LoadBalancerSettings withWatchedDiscovery() {
         return new LoadBalancerSettings(
                 instanceIndex,
@@ -80,22 +91,35 @@
                 connectionTimeouts);
     }
 
-    /** How changes of the replica list arrive: unasked, or only after asking. */
+    /** How changes of the endpoint list arrive. */
     public enum DiscoveryMode {
+        /** The host reports them without being asked. */
         PUSHED,
+        /** The load balancer has to ask for them by {@link LoadBalancerAction.WatchEndpoints}. */
         WATCHED
     }
 
-    /** Where replicas report their load: nowhere, with each outcome, or with probes alone. */
+    /** Where endpoints report their load. */
     public enum LoadReporting {
+        /** Nowhere. */
         NONE,
+        /** With each response. */
         WITH_RESPONSES,
+        /** With health checks alone. */
         WITH_HEALTH_CHECKS
     }
 
     /**
-     * A class of request. {@code firstTokenObjectivePerPromptTokenNanos} is added to {@code firstTokenObjectiveNanos}
-     * for each token of the prompt.
+     * A class of requests.
+     *
+     * @param idempotencyWindowNanos how long an idempotency key is remembered
+     * @param firstTokenObjectiveNanos when a first token is due, for an empty prompt
+     * @param firstTokenObjectivePerPromptTokenNanos what each token of the prompt adds to that
+     * @param deadlineNanos how long a client waits for a first token
+     * @param tokenObjectiveNanos how far apart later tokens may be; 0 for no objective
+     * @param priorityWeight what a timely response is worth
+     * @param lateWeight what a late response is worth; 0 where it is worth nothing
+     * @param isStreaming whether responses are streamed
      */
     public record RequestClass(
             Idempotency idempotency,
@@ -108,7 +132,7 @@
             double priorityWeight,
             double lateWeight,
             boolean isStreaming) {
-        /** What is believed of a class that the settings don't name: it may run once, and has no aim. */
+        /** Stands for classes that the settings don't name. */
         private static final RequestClass UNKNOWN = new RequestClass(
                 Idempotency.NOT_IDEMPOTENT,
                 IdempotencyScope.CELL,
@@ -122,8 +146,9 @@
                 false);
 
         /**
-         * Whether a request may be refused, after which its client may ask again; given whether an attempt may have
-         * run.
+         * Whether a request may be rejected, which tells its client that it may send it again.
+         *
+         * @param mayHaveRun whether an attempt of the request may have taken effect
          */
         public boolean isRejectable(boolean mayHaveRun) {
             return !mayHaveRun
@@ -132,10 +157,25 @@
         }
     }
 
-    /** A tenant: its part of the service, and the requests a second, over all routers, within it. */
+    /**
+     * A tenant.
+     *
+     * @param share its fraction of the requests; 0 for none of its own
+     * @param quotaPerSecond how many requests a second, over all instances, its share covers
+     */
     public record Tenant(double share, double quotaPerSecond) {}
 
-    /** What the site allows. */
+    /**
+     * What the site allows.
+     *
+     * @param maxAttempts how many attempts a request may have
+     * @param maxInFlightRequests how many requests an instance may have in hand
+     * @param hedging whether a second attempt may run beside the first
+     * @param cancellation whether attempts may be cancelled
+     * @param healthChecks whether endpoints may be checked
+     * @param peerMessages whether instances may send each other messages
+     * @param maxRetryAfterNanos the longest advice to a rejected client; 0 for no advice
+     */
     public record Limits(
             int maxAttempts,
             int maxInFlightRequests,
@@ -146,9 +186,15 @@
             long maxRetryAfterNanos) {}
 
     /**
-     * Figures of the drain and cold-start rules. A warming replica sent over {@code slowStartOverloadMultiple} times
-     * its present capacity for {@code slowStartOverloadWindowNanos} falls over. {@code pollDeadlineNanos}: see
-     * {@link Discovery#WATCHED}.
+     * How endpoints start and stop.
+     *
+     * @param drainGracePeriodNanos how long an endpoint completes its requests after it has begun to drain
+     * @param pollDeadlineNanos how old the endpoint list may become without a watch
+     * @param slowStartInitialCapacity the fraction of its capacity that an endpoint has when it starts
+     * @param slowStartWindowNanos how long it takes to reach its full capacity
+     * @param slowStartOverloadMultiple an endpoint in slow start fails if it is sent more than this multiple of its
+     *     present capacity
+     * @param slowStartOverloadWindowNanos for this long
      */
     public record EndpointLifecycle(
             long drainGracePeriodNanos,
@@ -158,12 +204,22 @@
             double slowStartOverloadMultiple,
             long slowStartOverloadWindowNanos) {}
 
-    /** What the site counts against us: an attempt that leaves its zone, and work that served no answer. */
+    /**
+     * What the site charges.
+     *
+     * @param crossZone for an attempt in another zone
+     * @param wastedWork for work that led to no answer
+     */
     public record Costs(double crossZone, double wastedWork) {}
 
-    /** What the numbers of classes, tenants, zones and kinds stand for; a real node meets them by name. */
+    /** The names behind the numbers of classes, tenants, zones and kinds; empty where the host knows numbers only. */
     public record Names(List<String> classes, List<String> tenants, List<String> zones, List<String> kinds) {}
 
-    /** Times of connections to replicas: until one is up, and until an idle one is closed by the replica. */
+    /**
+     * Timeouts of connections to endpoints.
+     *
+     * @param connectTimeoutNanos until a connection has to be open
+     * @param idleTimeoutNanos after which an endpoint closes an idle connection
+     */
     public record ConnectionTimeouts(long connectTimeoutNanos, long idleTimeoutNanos) {}
 }
