--- a/node/src/main/java/fawnlb/admin/AdminHandler.java
+++ b/node/src/main/java/fawnlb/admin/AdminHandler.java
@@ -1,6 +1,7 @@
 package fawnlb.admin;
 
 import fawnlb.client.FixedResponse;
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Timers;
 import fawnlb.metrics.Metrics;
 import fawnlb.stream.StreamRegistry;
@@ -12,10 +13,8 @@
 import java.util.function.LongFunction;
 import java.util.logging.Logger;
 
-/**
- * The admin listener's API: the streams of each backend, and the metrics. It only reads. All methods are called on the
- * I/O thread but {@link #scheduleStatisticsLog}, which may be called on any.
- */
+/** The admin listener's API: the streams of each backend, and the metrics. It only reads. */
+@EventLoopOnly
 public final class AdminHandler implements HttpHandler {
     static final String TARGETS_PATH = "/targets";
     static final String TARGETS_JSON_PATH = "/targets.json";
@@ -71,7 +70,10 @@
         return StreamStatisticsFormatter.toJson(streams.statistics(), backendAddresses);
     }
 
-    /** Writes the table of backends to the log now and then, for as long as the server runs. */
+    /**
+     * Writes the table of backends to the log once in each interval, for as long as the server runs. It may be called
+     * on any thread.
+     */
     public void scheduleStatisticsLog(long intervalNanos, Timers timers) {
         timers.schedule(intervalNanos, () -> {
             LOG.info("targets:\n" + formatTargets());
--- a/node/src/main/java/fawnlb/cli/CheckCommand.java
+++ b/node/src/main/java/fawnlb/cli/CheckCommand.java
@@ -38,9 +38,7 @@
     }
 
     private static void print(StartupConfiguration startup) {
-        String snapshots = startup.snapshotFile() == null
-                ? "nothing is remembered"
-                : "the list is remembered in " + startup.snapshotFile();
+        String snapshots = startup.snapshotFile() == null ? "no snapshots" : "snapshots in " + startup.snapshotFile();
         System.out.println("start: " + snapshots);
     }
 
@@ -48,7 +46,7 @@
         long pauseMillis = streams.timeouts().backendPauseNanos() / NANOS_PER_MILLI;
         long maxSilenceMillis = streams.timeouts().maxSilenceNanos() / NANOS_PER_MILLI;
         String admin = streams.adminAddress() == null ? "off" : "on " + streams.adminAddress();
-        System.out.println("streams: given up after " + pauseMillis + " to " + maxSilenceMillis
+        System.out.println("streams: ended after " + pauseMillis + " to " + maxSilenceMillis
                 + " ms of silence; admin listener " + admin);
     }
 }
--- a/node/src/main/java/fawnlb/cli/ConfiguredCommand.java
+++ b/node/src/main/java/fawnlb/cli/ConfiguredCommand.java
@@ -13,18 +13,18 @@
 
 /** A command that reads the configuration files of a server. */
 abstract class ConfiguredCommand implements Command {
-    @Parameter(names = "--config", description = "the node's configuration (default: $PROXY_CONFIG)")
+    @Parameter(names = "--config", description = "the server's configuration (default: $PROXY_CONFIG)")
     private String configurationFile = System.getenv("PROXY_CONFIG");
 
-    @Parameter(names = "--broker", description = "the teams' contracts; without it the messages front is off")
+    @Parameter(names = "--broker", description = "the teams' contracts; without it the messages API is off")
     private String messagesFile;
 
-    @Parameter(names = "--start", description = "how to start without discovery; without it nothing is remembered")
+    @Parameter(names = "--start", description = "how to start without discovery; without it no snapshots are written")
     private String startupFile;
 
     @Parameter(
             names = "--streams",
-            description = "when streams are given up, and the admin listener; without it, the usual")
+            description = "the timeouts of streams, and the admin listener; without it, the defaults")
     private String streamsFile;
 
     /** Reads the main file, and prints a warning for each setting that gets its default. */
--- a/node/src/main/java/fawnlb/cli/RehearseCommand.java
+++ b/node/src/main/java/fawnlb/cli/RehearseCommand.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 
 /** Runs {@link ClassArchiveWarmup} on a server that is started as the {@code serve} command starts it. */
-@Parameters(commandDescription = "Start a node, serve one request from a target of its own, and end")
+@Parameters(commandDescription = "Start a server, serve one request from a built-in backend, and end")
 final class RehearseCommand implements Command {
     @Override
     public void run() throws ConfigurationException, IOException {
--- a/node/src/main/java/fawnlb/cli/ServeCommand.java
+++ b/node/src/main/java/fawnlb/cli/ServeCommand.java
@@ -10,7 +10,7 @@
 import java.util.logging.Logger;
 
 /** Runs a server: SIGHUP makes it read its configuration again, SIGTERM shuts it down gracefully. */
-@Parameters(commandDescription = "Run one node until it is told to end")
+@Parameters(commandDescription = "Run one server until SIGTERM")
 final class ServeCommand extends ConfiguredCommand {
     private static final Logger LOG = Logger.getLogger(ServeCommand.class.getName());
 
--- a/node/src/main/java/fawnlb/cli/SimulatorCommand.java
+++ b/node/src/main/java/fawnlb/cli/SimulatorCommand.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 
 /** Runs load balancers for the simulator, which talks to them over standard input and output. */
-@Parameters(commandDescription = "Speak the simulator's wire on standard input and output")
+@Parameters(commandDescription = "Host load balancers for the simulator, on standard input and output")
 final class SimulatorCommand implements Command {
     private static final int INPUT_BUFFER_BYTES = 1 << 16;
 
--- a/node/src/main/java/fawnlb/cli/SnapshotCommand.java
+++ b/node/src/main/java/fawnlb/cli/SnapshotCommand.java
@@ -11,7 +11,7 @@
 import java.util.List;
 
 /** Prints a snapshot of the endpoint list. */
-@Parameters(commandDescription = "Print a remembered list: snapshot show FILE")
+@Parameters(commandDescription = "Print a snapshot of the endpoint list: snapshot show FILE")
 final class SnapshotCommand implements Command {
     @Parameter(description = "show FILE")
     private List<String> arguments = new ArrayList<>();
--- a/node/src/main/java/fawnlb/cli/TargetsCommand.java
+++ b/node/src/main/java/fawnlb/cli/TargetsCommand.java
@@ -9,11 +9,11 @@
 import java.net.InetSocketAddress;
 
 /** Asks the admin listener of a running server for its backends, and prints them. */
-@Parameters(commandDescription = "Ask a running node for its targets and their streams")
+@Parameters(commandDescription = "Print the targets of a running server and their streams")
 final class TargetsCommand implements Command {
     @Parameter(
             names = "--admin",
-            description = "the node's admin listener, as its --streams file has it",
+            description = "the server's admin listener, as its --streams file names it",
             required = true)
     private String adminAddress;
 
--- a/node/src/main/java/fawnlb/server/ClassArchiveWarmup.java
+++ b/node/src/main/java/fawnlb/server/ClassArchiveWarmup.java
@@ -47,8 +47,8 @@
             try {
                 Files.writeString(configurationFile, configurationJson(discovery.getLocalPort(), endpointList));
                 Server server = starter.start(configurationFile.toString());
-                checkReadinessAnswers(server.address(0));
-                checkRequestIsServed(server.address(0));
+                checkReadinessAnswers(server.platformAddress());
+                checkRequestIsServed(server.platformAddress());
             } finally {
                 Files.delete(configurationFile);
             }
--- a/node/src/main/java/fawnlb/server/EndpointPublisher.java
+++ b/node/src/main/java/fawnlb/server/EndpointPublisher.java
@@ -9,6 +9,7 @@
 import fawnlb.discovery.DiscoveryListener;
 import fawnlb.discovery.EndpointList;
 import fawnlb.discovery.EndpointStartTimes;
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Timers;
 import fawnlb.proxy.RequestProxy;
 import fawnlb.snapshot.SnapshotRecorder;
@@ -21,9 +22,9 @@
 
 /**
  * Publishes what discovery says of the endpoints: to the snapshot recorder, the backend pool, the request proxy, and
- * the readiness gate. All methods are called on the I/O thread, but {@link #connect}, which is called before discovery
- * starts.
+ * the readiness gate.
  */
+@EventLoopOnly
 final class EndpointPublisher implements DiscoveryListener {
     private final LoadBalancerSettings settings;
     private final Set<String> messagesApiKinds;
@@ -53,7 +54,8 @@
     }
 
     /**
-     * Sets the receivers that need discovery themselves, and so are created after this publisher.
+     * Sets the receivers that need discovery themselves, and so are created after this publisher. It is called on the
+     * thread that starts the server, before discovery starts.
      *
      * @param recorder writes snapshots of the endpoint list, null if none are written
      */
--- a/node/src/main/java/fawnlb/server/EventLoop.java
+++ b/node/src/main/java/fawnlb/server/EventLoop.java
@@ -3,6 +3,7 @@
 import fawnlb.eventloop.EventLoopTimers;
 import fawnlb.eventloop.EventLoopWatchdog;
 import fawnlb.eventloop.Mailbox;
+import fawnlb.eventloop.ThreadSafe;
 import java.io.IOException;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -15,8 +16,9 @@
 
 /**
  * The one I/O thread that carries all connections, and the worker that it belongs to. The worker's single task thread
- * does what blocks, which is writing snapshots. May be used on any thread.
+ * does what blocks, which is writing snapshots.
  */
+@ThreadSafe
 final class EventLoop {
     private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
     private static final int MAILBOX_CAPACITY = 8192;
--- a/node/src/main/java/fawnlb/server/HttpListeners.java
+++ b/node/src/main/java/fawnlb/server/HttpListeners.java
@@ -44,12 +44,12 @@
     }
 
     /**
-     * Binds a listener and starts to accept connections.
+     * Binds a listener, starts to accept connections, and returns the address that it has been bound to.
      *
      * @param maxConnections how many connections of this listener may be open; those beyond wait in the kernel's queue
      * @throws IOException if the address cannot be bound within the time that {@link StartupRetry} allows
      */
-    void open(InetSocketAddress address, HttpHandler handler, int maxConnections) throws IOException {
+    InetSocketAddress open(InetSocketAddress address, HttpHandler handler, int maxConnections) throws IOException {
         HttpOpenListener httpListener = createHttpListener(handler);
         Listener.Limits limits =
                 new Listener.Limits(maxConnections, LISTEN_BACKLOG_CONNECTIONS, CLIENT_SEND_BUFFER_BYTES);
@@ -59,6 +59,7 @@
                 address.toString(), () -> new Listener(address, limits, eventLoop.timers(), connectionHandler));
         listener.start(eventLoop.thread());
         listeners.add(listener);
+        return listener.address();
     }
 
     private HttpOpenListener createHttpListener(HttpHandler handler) {
@@ -72,11 +73,6 @@
         return httpListener;
     }
 
-    /** The address of a listener, counted from 0 in the order in which they were opened. */
-    InetSocketAddress addressAt(int index) {
-        return listeners.addressAt(index);
-    }
-
     /**
      * Accepts the connections that wait in the kernel's queues, closes the listeners, and returns when that is done.
      */
--- a/node/src/main/java/fawnlb/server/LogWriter.java
+++ b/node/src/main/java/fawnlb/server/LogWriter.java
@@ -1,5 +1,6 @@
 package fawnlb.server;
 
+import fawnlb.eventloop.ThreadSafe;
 import fawnlb.metrics.LogLine;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
@@ -13,11 +14,12 @@
 /**
  * A log handler that passes records to other handlers on a thread of its own. Standard error may be a pipe that is read
  * slowly or not at all; then a write to it does not return, and it must not be the I/O thread that waits. Records for
- * which the queue has no room are dropped and counted. It may be used on any thread.
+ * which the queue has no room are dropped and counted.
  */
+@ThreadSafe
 public final class LogWriter extends Handler {
     /** How many records may wait to be written. */
-    public static final int QUEUE_CAPACITY = 1024;
+    static final int QUEUE_CAPACITY = 1024;
 
     private final BlockingQueue<LogRecord> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final AtomicLong droppedRecords = new AtomicLong();
@@ -25,7 +27,7 @@
     private volatile boolean isWriting;
 
     /** Creates a writer and starts its thread. */
-    public LogWriter(Handler... handlers) {
+    LogWriter(Handler... handlers) {
         this.handlers = handlers.clone();
         Thread thread = new Thread(this::writeQueuedRecords, "log");
         thread.setDaemon(true);
--- a/node/src/main/java/fawnlb/server/ReadinessGate.java
+++ b/node/src/main/java/fawnlb/server/ReadinessGate.java
@@ -1,6 +1,8 @@
 package fawnlb.server;
 
 import fawnlb.decision.EndpointUpdateKind;
+import fawnlb.eventloop.EventLoopOnly;
+import fawnlb.eventloop.ThreadSafe;
 import fawnlb.eventloop.Timers;
 import fawnlb.platform.Readiness;
 import fawnlb.restore.RestoredEndpointFilter;
@@ -9,9 +11,8 @@
  * Decides whether the server is ready for requests. It is ready once discovery has answered or failed, since until then
  * it does not know where to forward a request, and other instances do. It stops being ready when its graceful shutdown
  * begins.
- *
- * <p>{@link #onDiscoveryUpdate} is called on the I/O thread, all else on any thread.
  */
+@ThreadSafe
 final class ReadinessGate {
     private final Timers timers;
     private final long createdAtNanos;
@@ -27,6 +28,7 @@
      * Takes note of an update from discovery. The cached list says nothing of discovery. A throttled call opens the
      * gate only after a while: discovery is up, and what it answers the next call already holds for this server.
      */
+    @EventLoopOnly
     void onDiscoveryUpdate(EndpointUpdateKind kind) {
         if (kind == EndpointUpdateKind.THROTTLED) {
             long waitEndNanos = createdAtNanos + RestoredEndpointFilter.MAX_THROTTLED_WAIT_NANOS;
--- a/node/src/main/java/fawnlb/server/Server.java
+++ b/node/src/main/java/fawnlb/server/Server.java
@@ -45,7 +45,7 @@
      * some milliseconds after the first; the delay, ten times as long, keeps it from being read as that to the next
      * request.
      */
-    public static final long CONNECTION_REUSE_DELAY_NANOS = 50 * NANOS_PER_MILLI;
+    static final long CONNECTION_REUSE_DELAY_NANOS = 50 * NANOS_PER_MILLI;
 
     private static final long HEALTH_CHECK_TIMEOUT_NANOS = 500 * NANOS_PER_MILLI;
     private static final long REQUEST_HEAD_TIMEOUT_NANOS = 2000 * NANOS_PER_MILLI;
@@ -72,6 +72,9 @@
     private HttpListeners listeners;
     private RequestProxy requestProxy;
     private DiscoveryClient discovery;
+    private InetSocketAddress platformAddress;
+    private InetSocketAddress messagesAddress;
+    private InetSocketAddress adminAddress;
     /** Null until the server has started. */
     private GracefulShutdown gracefulShutdown;
 
@@ -112,8 +115,8 @@
         gracefulShutdown = new GracefulShutdown(eventLoop, readiness, listeners, connections, requestProxy);
         LOG.info(LogLine.event("server listening")
                 .with("name", configuration.name())
-                .with("platform_address", address(0).toString())
-                .with("messages_address", messages == null ? null : address(1).toString())
+                .with("platform_address", platformAddress.toString())
+                .with("messages_address", messagesAddress == null ? null : messagesAddress.toString())
                 .toString());
     }
 
@@ -206,7 +209,7 @@
                 configuration.settings(),
                 !messagesApiKinds().isEmpty(),
                 readiness::readiness);
-        listeners.open(configuration.listenAddress(), platform, maxConnections);
+        platformAddress = listeners.open(configuration.listenAddress(), platform, maxConnections);
         if (messages != null) {
             BrokerHandler broker = new BrokerHandler(
                     requestProxy,
@@ -216,7 +219,7 @@
                     messages.contracts(),
                     eventLoop.timers(),
                     createRequestLog());
-            listeners.open(messages.listenAddress(), broker, maxConnections);
+            messagesAddress = listeners.open(messages.listenAddress(), broker, maxConnections);
         }
     }
 
@@ -241,7 +244,7 @@
 
     private void openAdminListener(AdminHandler admin) throws IOException {
         if (streaming.adminAddress() != null) {
-            listeners.open(streaming.adminAddress(), admin, DescriptorBudget.MAX_ADMIN_CONNECTIONS);
+            adminAddress = listeners.open(streaming.adminAddress(), admin, DescriptorBudget.MAX_ADMIN_CONNECTIONS);
         }
         if (streaming.statisticsLogIntervalNanos() > 0) {
             admin.scheduleStatisticsLog(streaming.statisticsLogIntervalNanos(), eventLoop.timers());
@@ -252,16 +255,23 @@
         return messages == null ? Set.of() : messages.messagesApiKinds();
     }
 
-    /**
-     * The address of a listener: that of the platform's API is 0, and those of the messages API and of the
-     * administrators follow in this order if they are configured.
-     */
-    public InetSocketAddress address(int listenerIndex) {
-        return listeners.addressAt(listenerIndex);
+    /** The address at which the platform's API listens. */
+    InetSocketAddress platformAddress() {
+        return platformAddress;
+    }
+
+    /** The address at which the messages API listens, null if the server does not offer it. */
+    InetSocketAddress messagesAddress() {
+        return messagesAddress;
+    }
+
+    /** The address of the admin listener, null if there is none. */
+    InetSocketAddress adminAddress() {
+        return adminAddress;
     }
 
     /** The number of requests that have no answer yet or whose attempt still runs. */
-    public int openRequests() {
+    int openRequests() {
         return requestProxy.openRequests();
     }
 
@@ -287,7 +297,7 @@
     }
 
     /** Ends the server at once, whatever it serves. */
-    public void stopNow() {
+    void stopNow() {
         listeners.closeNow();
         eventLoop.stopNow();
     }
--- a/node/src/main/java/fawnlb/server/StartupRetry.java
+++ b/node/src/main/java/fawnlb/server/StartupRetry.java
@@ -72,8 +72,8 @@
 
     private void failIfShutdownRequested(String resource, IOException cause) throws InterruptedIOException {
         if (shutdownRequested.getAsBoolean()) {
-            InterruptedIOException interrupted =
-                    new InterruptedIOException("told to end while waiting for " + resource + ": " + cause.getMessage());
+            InterruptedIOException interrupted = new InterruptedIOException(
+                    "shutdown requested while waiting for " + resource + ": " + cause.getMessage());
             interrupted.initCause(cause);
             throw interrupted;
         }
--- a/node/src/test/java/fawnlb/server/RequestProxyingTest.java
+++ b/node/src/test/java/fawnlb/server/RequestProxyingTest.java
@@ -648,7 +648,7 @@
             new Thread(start).start();
             node.shutDownGracefully();
             String how = start.get(5, TimeUnit.SECONDS);
-            assertTrue(how, how.contains("told to end"));
+            assertTrue(how, how.contains("shutdown requested"));
         }
     }
 }
--- a/node/src/test/java/fawnlb/server/ResponseStreamTest.java
+++ b/node/src/test/java/fawnlb/server/ResponseStreamTest.java
@@ -31,8 +31,8 @@
 
     private static String readAdmin(ServerHarness harness, boolean json) throws IOException {
         return json
-                ? AdminClient.fetchTargetsAsJson(harness.server.address(1))
-                : AdminClient.fetchTargets(harness.server.address(1));
+                ? AdminClient.fetchTargetsAsJson(harness.server.adminAddress())
+                : AdminClient.fetchTargets(harness.server.adminAddress());
     }
 
     private static void waitForOpenStreams(ServerHarness harness, int streams) {
--- a/node/src/test/java/fawnlb/server/ServerHarness.java
+++ b/node/src/test/java/fawnlb/server/ServerHarness.java
@@ -13,8 +13,11 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.function.BooleanSupplier;
+import java.util.stream.Stream;
 
 /** A node under test among stand-ins, and a client's side of a connection to it. */
 final class ServerHarness implements AutoCloseable {
@@ -89,8 +92,14 @@
         return Files.writeString(file, text);
     }
 
+    private List<InetSocketAddress> openAddresses() {
+        return Stream.of(server.platformAddress(), server.messagesAddress(), server.adminAddress())
+                .filter(Objects::nonNull)
+                .toList();
+    }
+
     Socket connect(int listener) throws IOException {
-        InetSocketAddress address = server.address(listener);
+        InetSocketAddress address = openAddresses().get(listener);
         Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(10_000);
         return socket;
--- a/node/src/test/java/fawnlb/simulator/SimulatorHostTest.java
+++ b/node/src/test/java/fawnlb/simulator/SimulatorHostTest.java
@@ -29,38 +29,42 @@
                 .array();
     }
 
+    /**
+     * A batch that attaches instance 3, lists endpoint 77 as list 1, tells the instance of it, and sends request 900.
+     */
     private static byte[] oneRequestBatch() {
         ByteBuffer buffer = ByteBuffer.allocate(1000).order(ByteOrder.LITTLE_ENDIAN);
-        buffer.put((byte) 0)
-                .putShort((short) 3)
-                .putLong(42)
-                .putInt(SETTINGS.length())
-                .put(SETTINGS.getBytes());
-        buffer.put((byte) 10).putShort((short) 1).putInt(1);
-        buffer.putLong(0)
-                .putFloat(1)
-                .put((byte) 1)
-                .putShort((short) 0)
-                .putInt(77)
-                .put((byte) 0)
-                .putShort((short) 0);
-        buffer.put((byte) 1).putShort((short) 3).put((byte) 2).putLong(1).putShort((short) 1);
-        buffer.put((byte) 2)
-                .putShort((short) 3)
-                .putLong(900)
-                .putShort((short) 0)
-                .putInt(0)
-                .putLong(0)
-                .putLong(1_000_000_000L)
-                .putLong(0)
-                .putLong(6)
-                .putFloat(10)
-                .putFloat(5)
-                .putFloat(20)
-                .put((byte) 0);
+        putAttachInstance(buffer);
+        putEndpointList(buffer);
+        putRecordHeader(buffer, RecordCodes.ENDPOINTS_UPDATED, 3);
+        buffer.put((byte) 2).putLong(1).putShort((short) 1);
+        putRequestArrived(buffer);
         return batch(4, Arrays.copyOf(buffer.array(), buffer.position()));
     }
 
+    private static void putRecordHeader(ByteBuffer buffer, int code, int instance) {
+        buffer.put((byte) code).putShort((short) instance);
+    }
+
+    private static void putAttachInstance(ByteBuffer buffer) {
+        putRecordHeader(buffer, RecordCodes.ATTACH_INSTANCE, 3);
+        buffer.putLong(42).putInt(SETTINGS.length()).put(SETTINGS.getBytes());
+    }
+
+    private static void putEndpointList(ByteBuffer buffer) {
+        putRecordHeader(buffer, RecordCodes.ENDPOINT_LIST, 1);
+        buffer.putInt(1);
+        buffer.putLong(0).putFloat(1).put((byte) 1).putShort((short) 0);
+        buffer.putInt(77).put((byte) 0).putShort((short) 0);
+    }
+
+    private static void putRequestArrived(ByteBuffer buffer) {
+        putRecordHeader(buffer, RecordCodes.REQUEST_ARRIVED, 3);
+        buffer.putLong(900).putShort((short) 0).putInt(0);
+        buffer.putLong(0).putLong(1_000_000_000L).putLong(0).putLong(6);
+        buffer.putFloat(10).putFloat(5).putFloat(20).put((byte) 0);
+    }
+
     private static byte[] exchange(byte[] input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorHost(new ByteArrayInputStream(input), out).run();
