--- a/node/src/main/java/fawnlb/backend/AttemptReporter.java
+++ b/node/src/main/java/fawnlb/backend/AttemptReporter.java
@@ -1,5 +1,6 @@
 package fawnlb.backend;
 
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.http.ResponseHead;
 import fawnlb.metrics.LogLine;
 import fawnlb.metrics.Metric;
@@ -10,6 +11,7 @@
 import java.util.logging.Logger;
 
 /** Tells the proxy, the metrics and the log what becomes of one attempt. Belongs to the attempt's exchange. */
+@EventLoopOnly
 final class AttemptReporter {
     private static final Logger LOG = Logger.getLogger(AttemptReporter.class.getName());
 
--- a/node/src/main/java/fawnlb/backend/Backend.java
+++ b/node/src/main/java/fawnlb/backend/Backend.java
@@ -1,6 +1,7 @@
 package fawnlb.backend;
 
 import fawnlb.decision.AttemptOutcome;
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
 import fawnlb.http.HttpClientConnection;
@@ -20,6 +21,7 @@
  * a message in its mailbox and may be called from any actor of its event loop; all other methods belong to the
  * backend's own messages and to the exchanges that run in them.
  */
+@EventLoopOnly
 final class Backend {
     private final BackendIdentity identity;
     private final BackendPool pool;
--- a/node/src/main/java/fawnlb/backend/BackendExchange.java
+++ b/node/src/main/java/fawnlb/backend/BackendExchange.java
@@ -1,5 +1,6 @@
 package fawnlb.backend;
 
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.http.HttpClientConnection;
 import fawnlb.metrics.LogLine;
 import fawnlb.metrics.Metric;
@@ -14,6 +15,7 @@
  * Subclasses say what is sent and what becomes of the response. All methods run in messages of the backend's actor or
  * in the connection's callbacks on the same event loop.
  */
+@EventLoopOnly
 abstract class BackendExchange implements HttpClientConnection.ResponseHandler, HttpClientConnection.ConnectHandler {
     private static final Logger LOG = Logger.getLogger(BackendExchange.class.getName());
 
--- a/node/src/main/java/fawnlb/backend/BackendPool.java
+++ b/node/src/main/java/fawnlb/backend/BackendPool.java
@@ -2,6 +2,7 @@
 
 import fawnlb.decision.AttemptOutcome;
 import fawnlb.decision.EndpointPhase;
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
 import fawnlb.proxy.Backends;
@@ -22,6 +23,7 @@
  * The backends of one instance, one for each endpoint of the endpoint list. Limits the number of connections to all of
  * them together. Belongs to one event loop.
  */
+@EventLoopOnly
 public final class BackendPool implements Backends {
     /**
      * Messages that may wait at one backend. A full mailbox means that the event loop is far behind; new attempts then
--- a/node/src/main/java/fawnlb/backend/IdleConnections.java
+++ b/node/src/main/java/fawnlb/backend/IdleConnections.java
@@ -1,5 +1,6 @@
 package fawnlb.backend;
 
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Timers;
 import fawnlb.http.HttpClientConnection;
 import java.util.ArrayDeque;
@@ -7,6 +8,7 @@
 import java.util.Iterator;
 
 /** The connections to one backend that carry no request, the longest idle first. Belongs to the backend's actor. */
+@EventLoopOnly
 final class IdleConnections {
     /**
      * A connection is closed after this fraction of the backend's own idle timeout: a request that is written while the
--- a/node/src/main/java/fawnlb/backend/SendGuard.java
+++ b/node/src/main/java/fawnlb/backend/SendGuard.java
@@ -1,5 +1,6 @@
 package fawnlb.backend;
 
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.metrics.Invariant;
 import fawnlb.proxy.Backends;
 import java.util.Optional;
@@ -9,6 +10,7 @@
  * connect, a full mailbox or a stalled process may have taken time, so the exchange asks again before it looks for a
  * connection and when a new connection has come up. Belongs to the backend's actor.
  */
+@EventLoopOnly
 final class SendGuard {
     private final Backend backend;
     private final AttemptParameters parameters;
--- a/node/src/main/java/fawnlb/backend/StreamWakeTimer.java
+++ b/node/src/main/java/fawnlb/backend/StreamWakeTimer.java
@@ -1,5 +1,6 @@
 package fawnlb.backend;
 
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Timers;
 import fawnlb.stream.ResponseStream;
 import fawnlb.stream.StreamState;
@@ -10,6 +11,7 @@
  * asks the stream when it fires, and is set again for the time that the stream then names. Belongs to the backend's
  * actor.
  */
+@EventLoopOnly
 final class StreamWakeTimer {
     private final ResponseStream stream;
     private final Timers timers;
--- a/node/src/test/java/fawnlb/backend/ResponseTailTest.java
+++ b/node/src/test/java/fawnlb/backend/ResponseTailTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void findsOnlyWhatIsNearTheEnd() {
+    public void findsOnlyWhatTheLastBytesHold() {
         assertFound(USAGE + "data: " + "x".repeat(2000) + "\n\n", 0, "");
         assertFound("x".repeat(2000) + "\n" + USAGE, 4096, "");
     }
