--- a/node/src/main/java/fawnlb/messages/BrokerHandler.java
+++ b/node/src/main/java/fawnlb/messages/BrokerHandler.java
@@ -2,13 +2,12 @@
 
 import fawnlb.backend.OutboundRequest;
 import fawnlb.backend.OutboundRequest.ResponseSummary;
-import fawnlb.client.ClientExchange;
 import fawnlb.client.InFlightRequestIds;
+import fawnlb.client.RequestForwarder;
 import fawnlb.contract.Budget;
 import fawnlb.contract.Contract;
 import fawnlb.contract.Contracts;
 import fawnlb.decision.LoadBalancerSettings;
-import fawnlb.eventloop.Mailbox;
 import fawnlb.eventloop.Timers;
 import fawnlb.http.InvalidRequestException;
 import fawnlb.http.RequestBodyReader;
@@ -22,7 +21,6 @@
 import io.undertow.util.HttpString;
 import io.undertow.util.Methods;
 import io.undertow.util.StatusCodes;
-import java.util.concurrent.TimeUnit;
 
 /**
  * Handles the requests of teams' services. Clients speak either dialect. A request is admitted if a contract has its
@@ -30,10 +28,8 @@
  */
 public final class BrokerHandler implements HttpHandler {
     private static final HttpString RESPONSE_REQUEST_ID = new HttpString("request-id");
-    private static final int MAILBOX_CAPACITY = 64;
-    private static final long OVERLOAD_RETRY_AFTER_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private final RequestProxy requestProxy;
+    private final RequestForwarder forwarder;
     private final RequestBodyReader bodyReader;
     private final InFlightRequestIds inFlightIds;
     private final BrokerRequestReader requestReader;
@@ -50,7 +46,7 @@
             Contracts contracts,
             Timers timers,
             RequestLog requestLog) {
-        this.requestProxy = requestProxy;
+        this.forwarder = new RequestForwarder(requestProxy);
         this.bodyReader = bodyReader;
         this.inFlightIds = inFlightIds;
         this.requestReader = new BrokerRequestReader(settings);
@@ -149,14 +145,7 @@
 
     private void forward(HttpServerExchange exchange, IncomingRequest request, BrokerResponseFormatter formatter) {
         exchange.getResponseHeaders().put(RESPONSE_REQUEST_ID, formatter.requestId());
-        ClientExchange client =
-                new ClientExchange(exchange, new Mailbox(exchange.getIoThread(), MAILBOX_CAPACITY), formatter);
-        RequestProxy.RequestHandle handle = requestProxy.submit(request, client);
-        if (handle == null) {
-            client.sendRejection(null, OVERLOAD_RETRY_AFTER_NANOS);
-        } else {
-            client.attach(handle);
-        }
+        forwarder.forward(exchange, request, formatter);
     }
 
     private void reject(HttpServerExchange exchange, Dialect dialect, int status, String text) {
--- a/node/src/main/java/fawnlb/platform/PlatformResponseFormatter.java
+++ b/node/src/main/java/fawnlb/platform/PlatformResponseFormatter.java
@@ -3,19 +3,25 @@
 import fawnlb.backend.OutboundRequest;
 import fawnlb.client.FixedResponse;
 import fawnlb.client.ResponseFormatter;
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.stream.AttemptEnd;
 import io.undertow.util.StatusCodes;
 
-/** The platform's words for one flow's answers. */
-record PlatformResponseFormatter(OutboundRequest.ResponseSummary tally) implements ResponseFormatter {
+/**
+ * Formats the responses to one request in the platform's protocol.
+ *
+ * @param responseSummary what a backend's response has shown so far
+ */
+@EventLoopOnly
+record PlatformResponseFormatter(OutboundRequest.ResponseSummary responseSummary) implements ResponseFormatter {
     @Override
     public String backendContentType() {
-        return tally.status() == StatusCodes.OK ? "text/event-stream" : "application/json";
+        return responseSummary.status() == StatusCodes.OK ? "text/event-stream" : "application/json";
     }
 
     @Override
     public int backendStatus() {
-        return tally.status();
+        return responseSummary.status();
     }
 
     @Override
--- a/node/src/main/java/fawnlb/server/Server.java
+++ b/node/src/main/java/fawnlb/server/Server.java
@@ -16,6 +16,7 @@
 import fawnlb.messages.BrokerHandler;
 import fawnlb.messages.RequestLog;
 import fawnlb.metrics.LogLine;
+import fawnlb.platform.BodyPolicy;
 import fawnlb.platform.PlatformHandler;
 import fawnlb.policy.BoundedLoadBalancer;
 import fawnlb.proxy.ProxyContext;
@@ -207,7 +208,7 @@
                 bodyReader,
                 requestIds,
                 configuration.settings(),
-                !messagesApiKinds().isEmpty(),
+                messagesApiKinds().isEmpty() ? BodyPolicy.FORWARD_UNREAD : BodyPolicy.TRANSLATE,
                 readiness::readiness);
         platformAddress = listeners.open(configuration.listenAddress(), platform, maxConnections);
         if (messages != null) {
