--- a/node/src/test/java/fawnlb/client/ClientExchangeTest.java
+++ b/node/src/test/java/fawnlb/client/ClientExchangeTest.java
@@ -5,12 +5,9 @@
 
 import fawnlb.eventloop.Mailbox;
 import fawnlb.proxy.ResponseSource;
-import fawnlb.stream.AttemptEnd;
-import io.undertow.Undertow;
-import io.undertow.util.SameThreadExecutor;
+import io.undertow.server.HttpServerExchange;
 import java.io.InputStream;
 import java.lang.ref.WeakReference;
-import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -21,132 +18,117 @@
 import org.junit.Test;
 
 public class ClientExchangeTest {
-    private static final class TextResponseFormatter implements ResponseFormatter {
-        @Override
-        public String backendContentType() {
-            return "text/plain";
-        }
+    private static final int MAILBOX_CAPACITY = 9;
+    private static final long TIMEOUT_SECONDS = 10;
+    private static final String REQUEST = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
+    private static final String CLOSING_REQUEST = "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+
+    private static ClientExchange createExchange(HttpServerExchange exchange) {
+        Mailbox mailbox = new Mailbox(exchange.getIoThread(), MAILBOX_CAPACITY);
+        return new ClientExchange(exchange, mailbox, new TextResponseFormatter());
+    }
 
-        @Override
-        public FixedResponse formatRejection(AttemptEnd cause) {
-            return new FixedResponse(503, "text/plain", "no\n");
+    private static void awaitUninterrupted(CountDownLatch latch) {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
         }
+    }
 
-        @Override
-        public FixedResponse formatFailure(AttemptEnd cause) {
-            return formatRejection(cause);
-        }
+    @Test
+    public void disconnectedClientIsNotPresentBeforeItsCloseIsRead() throws Exception {
+        assertDisconnectIsDetected(REQUEST);
+    }
+
+    @Test
+    public void disconnectedClientWithPipelinedRequestIsNotPresentBeforeItsCloseIsRead() throws Exception {
+        assertDisconnectIsDetected(REQUEST + "GET /next HTTP/1.1\r\nHost: x\r\n\r\n");
     }
 
     /**
-     * A burst of leavers on a busy processor: their requests are read and sent on before the I/O thread comes to look
-     * at what they have closed since. Here it never comes to look, and has to be asked.
+     * Blocks the I/O thread while a client disconnects, as a busy processor would. The thread doesn't poll its sockets
+     * meanwhile, so that only the exchange itself can detect the disconnect.
      */
-    @Test
-    public void disconnectedClientIsNotPresentBeforeItsCloseIsRead() throws Exception {
-        for (String pipelined : new String[] {"", "GET /next HTTP/1.1\r\nHost: x\r\n\r\n"}) {
-            CountDownLatch presenceChecked = new CountDownLatch(1);
-            CountDownLatch disconnected = new CountDownLatch(1);
-            CompletableFuture<String> presence = new CompletableFuture<>();
-            AtomicInteger disconnects = new AtomicInteger();
-            Undertow server = Undertow.builder()
-                    .setIoThreads(1)
-                    .addHttpListener(0, "127.0.0.1")
-                    .setHandler(exchange -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                        ClientExchange client = new ClientExchange(
-                                exchange, new Mailbox(exchange.getIoThread(), 9), new TextResponseFormatter());
-                        client.attach(disconnects::incrementAndGet);
-                        String before = "present " + client.isConnected();
-                        presenceChecked.countDown();
-                        try {
-                            disconnected.await();
-                        } catch (InterruptedException e) {
-                            Thread.currentThread().interrupt();
-                        }
-                        // The close is on its way through the kernel; this thread looks at no socket meanwhile.
-                        long end = System.nanoTime() + 10_000_000_000L;
-                        boolean present = client.isConnected();
-                        while (present && System.nanoTime() < end) {
-                            present = client.isConnected();
-                        }
-                        presence.complete(before + ", then " + present + ", told " + disconnects);
-                    }))
-                    .build();
-            server.start();
-            InetSocketAddress address =
-                    (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
-            try {
-                Socket socket = new Socket(address.getAddress(), address.getPort());
-                socket.getOutputStream().write(("GET / HTTP/1.1\r\nHost: x\r\n\r\n" + pipelined).getBytes());
-                presenceChecked.await();
-                socket.close();
-                disconnected.countDown();
-                assertEquals("present true, then false, told 1", presence.get(20, TimeUnit.SECONDS));
-            } finally {
-                server.stop();
-            }
+    private static void assertDisconnectIsDetected(String requests) throws Exception {
+        CountDownLatch presenceChecked = new CountDownLatch(1);
+        CountDownLatch disconnected = new CountDownLatch(1);
+        CompletableFuture<String> presence = new CompletableFuture<>();
+        try (ExchangeServer server = new ExchangeServer(exchange -> {
+            AtomicInteger cancellations = new AtomicInteger();
+            ClientExchange client = createExchange(exchange);
+            client.attach(cancellations::incrementAndGet);
+            String before = "present " + client.isConnected();
+            presenceChecked.countDown();
+            awaitUninterrupted(disconnected);
+            boolean after = isConnectedUntilDetected(client);
+            presence.complete(before + ", then " + after + ", told " + cancellations);
+        })) {
+            Socket client = server.connect();
+            ExchangeServer.send(client, requests);
+            presenceChecked.await();
+            client.close();
+            disconnected.countDown();
+            assertEquals("present true, then false, told 1", presence.get(2 * TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
-    /** An overloaded day filled a node's heap in 50 s: connections kept every exchange that they had carried. */
+    /** Asks until the close has passed through the kernel, or the timeout has passed. */
+    private static boolean isConnectedUntilDetected(ClientExchange client) {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        boolean connected = client.isConnected();
+        while (connected && System.nanoTime() < end) {
+            connected = client.isConnected();
+        }
+        return connected;
+    }
+
+    /** Connections that kept all exchanges which they had carried filled a heap in 50 s of an overloaded day. */
     @Test
     public void connectionReleasesFinishedExchanges() throws Exception {
+        int requests = 20;
         List<WeakReference<ClientExchange>> exchanges = new CopyOnWriteArrayList<>();
-        Undertow server = Undertow.builder()
-                .setIoThreads(1)
-                .addHttpListener(0, "127.0.0.1")
-                .setHandler(exchange -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                    ClientExchange client = new ClientExchange(
-                            exchange, new Mailbox(exchange.getIoThread(), 9), new TextResponseFormatter());
+        try (ExchangeServer server = new ExchangeServer(exchange -> {
+                    ClientExchange client = createExchange(exchange);
                     exchanges.add(new WeakReference<>(client));
                     client.attach(() -> {});
                     client.sendRejection(null, 1);
-                }))
-                .build();
-        server.start();
-        InetSocketAddress address =
-                (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
-        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            socket.setSoTimeout(10_000);
-            InputStream in = socket.getInputStream();
-            for (int i = 0; i < 20; i++) {
-                socket.getOutputStream().write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes());
-                StringBuilder answer = new StringBuilder();
-                while (!answer.toString().endsWith("no\n")) {
-                    answer.append((char) in.read());
-                }
+                });
+                Socket client = server.connect()) {
+            for (int i = 0; i < requests; i++) {
+                ExchangeServer.send(client, REQUEST);
+                readRejection(client.getInputStream());
             }
-            long end = System.nanoTime() + 10_000_000_000L;
-            long reachable = 20;
-            while (reachable > 2 && System.nanoTime() < end) {
-                System.gc();
-                reachable = exchanges.stream()
-                        .filter(reference -> reference.get() != null)
-                        .count();
-            }
-            assertTrue("kept " + reachable + " of 20", reachable <= 2);
-        } finally {
-            server.stop();
+            long reachable = countReachable(exchanges, 2);
+            assertTrue("kept " + reachable + " of " + requests, reachable <= 2);
         }
     }
 
-    /** Throws at the start of an answer, which no front is expected to do. */
-    private static final class ThrowingResponseFormatter implements ResponseFormatter {
-        private final TextResponseFormatter delegate = new TextResponseFormatter();
-
-        @Override
-        public String backendContentType() {
-            throw new IllegalStateException("meant to fail");
+    private static void readRejection(InputStream input) throws Exception {
+        StringBuilder response = new StringBuilder();
+        while (!response.toString().endsWith("no\n")) {
+            response.append((char) input.read());
         }
+    }
 
-        @Override
-        public FixedResponse formatRejection(AttemptEnd cause) {
-            return delegate.formatRejection(cause);
+    /** Collects garbage until at most so many references are left, or the timeout has passed. */
+    private static long countReachable(List<WeakReference<ClientExchange>> references, long expected) {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        long reachable = references.size();
+        while (reachable > expected && System.nanoTime() < end) {
+            System.gc();
+            reachable = references.stream()
+                    .filter(reference -> reference.get() != null)
+                    .count();
         }
+        return reachable;
+    }
 
+    /** Throws at the start of a streamed response. */
+    private static final class ThrowingResponseFormatter extends TextResponseFormatter {
         @Override
-        public FixedResponse formatFailure(AttemptEnd cause) {
-            return delegate.formatFailure(cause);
+        public String backendContentType() {
+            throw new IllegalStateException("meant to fail");
         }
     }
 
@@ -158,43 +140,34 @@
         public void requestNextChunk() {}
 
         @Override
-        public void onUnsentBytes(int left) {}
+        public void onUnsentBytes(int unsentBytes) {}
 
         @Override
         public void onSinkClosed() {}
     };
 
-    private static void assertRejectedAndCancelled(Mailbox mailbox, CountDownLatch cancelled) throws Exception {
-        Undertow server = Undertow.builder()
-                .setIoThreads(1)
-                .addHttpListener(0, "127.0.0.1")
-                .setHandler(exchange -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                    ClientExchange client = new ClientExchange(exchange, mailbox, new ThrowingResponseFormatter());
-                    client.attach(cancelled::countDown);
-                    client.streamResponse(EMPTY_SOURCE);
-                }))
-                .build();
-        server.start();
-        InetSocketAddress address =
-                (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
-        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            socket.setSoTimeout(10_000);
-            socket.getOutputStream().write("GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".getBytes());
-            String answer = new String(socket.getInputStream().readAllBytes());
-            assertTrue(answer, answer.startsWith("HTTP/1.1 503") && answer.endsWith("no\n"));
-            assertTrue("the attempt is called off", cancelled.await(10, TimeUnit.SECONDS));
-        } finally {
-            server.stop();
-        }
-    }
-
     @Test
     public void clientIsAnsweredWhenResponseStartThrows() throws Exception {
-        assertRejectedAndCancelled(new Mailbox(Runnable::run, 9), new CountDownLatch(1));
+        assertRejectedAndCancelled(new Mailbox(Runnable::run, MAILBOX_CAPACITY));
     }
 
     @Test
     public void clientIsAnsweredWhenMailboxIsFull() throws Exception {
-        assertRejectedAndCancelled(new Mailbox(Runnable::run, 0), new CountDownLatch(1));
+        assertRejectedAndCancelled(new Mailbox(Runnable::run, 0));
+    }
+
+    private static void assertRejectedAndCancelled(Mailbox mailbox) throws Exception {
+        CountDownLatch cancelled = new CountDownLatch(1);
+        try (ExchangeServer server = new ExchangeServer(exchange -> {
+                    ClientExchange client = new ClientExchange(exchange, mailbox, new ThrowingResponseFormatter());
+                    client.attach(cancelled::countDown);
+                    client.streamResponse(EMPTY_SOURCE);
+                });
+                Socket client = server.connect()) {
+            ExchangeServer.send(client, CLOSING_REQUEST);
+            String response = new String(client.getInputStream().readAllBytes());
+            assertTrue(response, response.startsWith("HTTP/1.1 503") && response.endsWith("no\n"));
+            assertTrue("the attempt is cancelled", cancelled.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        }
     }
 }
--- a/node/src/test/java/fawnlb/client/ListenerTest.java
+++ b/node/src/test/java/fawnlb/client/ListenerTest.java
@@ -12,49 +12,52 @@
 import java.net.Socket;
 import java.nio.channels.ServerSocketChannel;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.FutureTask;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLong;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.After;
 import org.junit.Before;
+import org.junit.Rule;
 import org.junit.Test;
 import org.xnio.IoUtils;
-import org.xnio.OptionMap;
-import org.xnio.Options;
 import org.xnio.StreamConnection;
-import org.xnio.Xnio;
-import org.xnio.XnioWorker;
 
 public class ListenerTest {
     private static final int CLIENTS = 50;
-    private static final long TIMEOUT_SECONDS = 10;
+    private static final int BACKLOG = 100;
+    private static final int SEND_BUFFER_BYTES = 65536;
+
+    @Rule
+    public final IoThread ioThread = new IoThread();
 
     private final List<Socket> clients = new ArrayList<>();
     private final BlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
     private final List<Long> queueingDelaysNanos = new CopyOnWriteArrayList<>();
-    /** Accepts left that fail. */
+    /** How many of the next accepts fail. */
     private int remainingFailures;
 
     private int acceptCalls;
-    private XnioWorker worker;
     private Timers timers;
     private ServerSocketChannel channel;
     private Listener listener;
 
     @Before
     public void bindListener() throws Exception {
-        worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        timers = new EventLoopTimers(worker.getIoThread());
-        channel = Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100);
+        timers = new EventLoopTimers(ioThread.thread());
+        channel = Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
         createListener(CLIENTS);
     }
 
-    private void createListener(int maxOpen) {
+    private static Listener.Limits limits(int maxConnections) {
+        return new Listener.Limits(maxConnections, BACKLOG, SEND_BUFFER_BYTES);
+    }
+
+    private void createListener(int maxConnections) {
         listener = new Listener(
                 channel,
                 () -> {
@@ -65,7 +68,7 @@
                     }
                     return channel.accept();
                 },
-                new Listener.Limits(maxOpen, 100, 65536),
+                limits(maxConnections),
                 timers,
                 (connection, queuedNanos) -> {
                     queueingDelaysNanos.add(queuedNanos);
@@ -74,8 +77,7 @@
     }
 
     @After
-    public void stopWorker() throws IOException {
-        worker.shutdownNow();
+    public void closeClients() throws IOException {
         for (Socket client : clients) {
             client.close();
         }
@@ -91,17 +93,11 @@
     }
 
     private StreamConnection nextAccepted() throws InterruptedException {
-        StreamConnection connection = accepted.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        assertTrue("nobody was accepted", connection != null);
+        StreamConnection connection = accepted.poll(IoThread.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertTrue("no connection was accepted", connection != null);
         return connection;
     }
 
-    private void onIoThread(Runnable task) throws Exception {
-        FutureTask<?> call = new FutureTask<>(task, null);
-        worker.getIoThread().execute(call);
-        call.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    }
-
     private static void awaitUninterrupted(CountDownLatch latch) {
         try {
             latch.await();
@@ -112,45 +108,30 @@
 
     @Test
     public void failedAcceptsRetryAtFixedDelayAndLogOnce() throws Exception {
-        List<Long> delaysNanos = new CopyOnWriteArrayList<>();
-        Timers delegate = timers;
-        timers = new Timers() {
-            @Override
-            public long now() {
-                return delegate.now();
-            }
-
-            @Override
-            public Timer schedule(long nanos, Runnable task) {
-                delaysNanos.add(nanos);
-                return delegate.schedule(0, task);
-            }
-        };
+        ImmediateTimers immediateTimers = new ImmediateTimers(ioThread.thread());
+        timers = immediateTimers;
         createListener(CLIENTS);
         remainingFailures = 40;
         try (CapturedLog log = new CapturedLog(Listener.class.getName())) {
             connect(1);
-            listener.start(worker.getIoThread());
+            listener.start(ioThread.thread());
             nextAccepted();
-            assertEquals(40, delaysNanos.size());
-            assertTrue(
-                    delaysNanos.toString(),
-                    delaysNanos.stream().allMatch(pause -> pause == Listener.ACCEPT_RETRY_DELAY_NANOS));
+            assertEquals(Collections.nCopies(40, Listener.ACCEPT_RETRY_DELAY_NANOS), immediateTimers.delaysNanos());
             assertEquals(log.lines().toString(), 1, log.lines().size());
         }
     }
 
-    /** On eight nodes under 125 new connections a second each, 39 were reset at a planned end. */
+    /** On eight instances under 125 new connections a second each, 39 were reset at a graceful shutdown. */
     @Test
     public void gracefulCloseAcceptsQueuedConnections() throws Exception {
-        listener.start(worker.getIoThread());
+        listener.start(ioThread.thread());
         CountDownLatch busy = new CountDownLatch(1);
-        worker.getIoThread().execute(() -> awaitUninterrupted(busy));
+        ioThread.thread().execute(() -> awaitUninterrupted(busy));
         ListenerGroup listeners = new ListenerGroup();
         listeners.add(listener);
         Thread ending = new Thread(() -> {
             try {
-                listeners.closeGracefully(worker.getIoThread());
+                listeners.closeGracefully(ioThread.thread());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -158,45 +139,32 @@
         ending.start();
         connect(CLIENTS);
         busy.countDown();
-        ending.join(TIMEOUT_SECONDS * 1000);
+        ending.join(IoThread.TIMEOUT_SECONDS * 1000);
         assertEquals(CLIENTS, accepted.size());
         assertTrue(accepted.stream().allMatch(StreamConnection::isOpen));
     }
 
     @Test
     public void gracefulCloseRetriesFailedAccepts() throws Exception {
-        listener.start(worker.getIoThread());
+        listener.start(ioThread.thread());
         CountDownLatch closed = new CountDownLatch(1);
-        onIoThread(() -> remainingFailures = 3);
-        onIoThread(() -> listener.closeGracefully(closed::countDown));
+        ioThread.run(() -> remainingFailures = 3);
+        ioThread.run(() -> listener.closeGracefully(closed::countDown));
         connect(1);
-        assertTrue(closed.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertTrue(closed.await(IoThread.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(1, accepted.size());
         assertTrue(acceptCalls >= 4);
     }
 
     @Test
     public void queueingDelayCountsFromFirstFailedAccept() throws Exception {
-        AtomicLong now = new AtomicLong(1000);
-        Timers delegate = timers;
-        timers = new Timers() {
-            @Override
-            public long now() {
-                return now.get();
-            }
-
-            @Override
-            public Timer schedule(long nanos, Runnable task) {
-                now.addAndGet(nanos);
-                return delegate.schedule(0, task);
-            }
-        };
+        timers = new ImmediateTimers(ioThread.thread());
         createListener(CLIENTS);
         remainingFailures = 7;
         connect(1);
-        listener.start(worker.getIoThread());
+        listener.start(ioThread.thread());
         nextAccepted();
-        onIoThread(() -> {});
+        ioThread.run(() -> {});
         connect(1);
         nextAccepted();
         assertEquals(List.of(7 * Listener.ACCEPT_RETRY_DELAY_NANOS, 0L), queueingDelaysNanos);
@@ -204,15 +172,14 @@
 
     @Test
     public void acceptsContinueAfterConnectionHandlerThrows() throws Exception {
-        int[] failures = {1};
-        listener = new Listener(
-                channel, null, new Listener.Limits(CLIENTS, 100, 65536), timers, (connection, queuedNanos) -> {
-                    if (failures[0]-- > 0) {
-                        throw new IllegalStateException("meant to fail");
-                    }
-                    accepted.add(connection);
-                });
-        listener.start(worker.getIoThread());
+        AtomicInteger handlerFailures = new AtomicInteger(1);
+        listener = new Listener(channel, null, limits(CLIENTS), timers, (connection, queuedNanos) -> {
+            if (handlerFailures.getAndDecrement() > 0) {
+                throw new IllegalStateException("meant to fail");
+            }
+            accepted.add(connection);
+        });
+        listener.start(ioThread.thread());
         connect(1);
         connect(1);
         nextAccepted();
@@ -221,12 +188,12 @@
     @Test
     public void connectionOverLimitIsAcceptedAfterAnotherCloses() throws Exception {
         createListener(2);
-        listener.start(worker.getIoThread());
+        listener.start(ioThread.thread());
         connect(3);
         StreamConnection first = nextAccepted();
         nextAccepted();
-        onIoThread(() -> assertTrue("the third waits", accepted.isEmpty()));
-        onIoThread(() -> IoUtils.safeClose(first));
+        ioThread.run(() -> assertTrue("the third waits", accepted.isEmpty()));
+        ioThread.run(() -> IoUtils.safeClose(first));
         nextAccepted();
     }
 }
