--- a/lab/src/main/java/fawnlb/lab/engine/EngineProfile.java
+++ b/lab/src/main/java/fawnlb/lab/engine/EngineProfile.java
@@ -29,9 +29,9 @@
         double speedFactor,
         double connectMillis,
         double loadReportMillis) {
-    /** The two host types of the emulated fleet. */
+    /** Name of the faster host type of the emulated fleet. */
     public static final String FULL_RATE = "full-rate";
-
+    /** Name of the slower one. */
     public static final String SLOW_RATE = "slow-rate";
 
     /** Longest time between two tokens that the operators want. */
--- a/lab/src/main/java/fawnlb/lab/scenario/FleetSize.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/FleetSize.java
@@ -25,9 +25,9 @@
  * under many endpoint ids.
  */
 public final class FleetSize implements Scenario {
-    /** Numbers of servers of the two fleets. */
+    /** Number of servers of the small fleet. */
     public static final int SMALL_FLEET = 200;
-
+    /** Number of servers of the large fleet. */
     public static final int LARGE_FLEET = 3200;
 
     private static final int LISTENING_SERVERS = 40;
--- a/lab/src/main/java/fawnlb/lab/scenario/StalledBackends.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/StalledBackends.java
@@ -29,9 +29,6 @@
     static final long NOTIFICATION_DELAY_NANOS = 500_000_000;
 
     private static final double LOAD_SHARE = 0.55;
-    /** The part of a prompt that backends don't find in their caches in the long run. */
-    private static final double UNCACHED_PROMPT_SHARE = 0.35;
-
     private static final int STALLED_COUNT = 2;
     private static final int STALL_START_SECONDS = 5;
     /** The stall comes behind the head of the response and within the answers' usual length. */
@@ -155,7 +152,8 @@
         try (Testbed testbed = new Testbed()) {
             RandomGenerator random = new Well19937c(seed);
             testbed.addRandomBackends(BACKEND_COUNT, random);
-            double turnsPerSecond = LOAD_SHARE * Testbed.turnsPerSecond(testbed.backends(), UNCACHED_PROMPT_SHARE);
+            double turnsPerSecond =
+                    LOAD_SHARE * Testbed.turnsPerSecond(testbed.backends(), Testbed.UNCACHED_PROMPT_SHARE);
             List<ArrivalPlan.Turn> turns = ArrivalPlan.draw(random, turnsPerSecond, seconds);
             testbed.startNodes(NODE_COUNT, NOTIFICATION_DELAY_NANOS, Map.of("streams", detection.streamsFile));
             Histogram detectionMillis = newHistogram();
--- a/lab/src/main/java/fawnlb/lab/scenario/StartWithoutDiscovery.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/StartWithoutDiscovery.java
@@ -37,9 +37,6 @@
 
     private static final int FIRST_SERVING = 5;
     private static final double LOAD_SHARE = 0.55;
-    /** The part of a prompt that backends don't find in their caches in the long run. */
-    private static final double UNCACHED_PROMPT_SHARE = 0.35;
-
     private static final long NOTIFICATION_DELAY_NANOS = 500_000_000;
     /** Revision of the restored list, and of discovery after it has lost its state. */
     private static final long LISTED_REVISION = 99;
@@ -99,7 +96,7 @@
             RandomGenerator random = new Well19937c(seed);
             testbed.addRandomBackends(ALL_BACKENDS, random);
             List<EngineServer> serving = testbed.backends().subList(FIRST_SERVING, LISTED_BACKENDS);
-            double turnsPerSecond = LOAD_SHARE * Testbed.turnsPerSecond(serving, UNCACHED_PROMPT_SHARE);
+            double turnsPerSecond = LOAD_SHARE * Testbed.turnsPerSecond(serving, Testbed.UNCACHED_PROMPT_SHARE);
             List<DiscoveredEndpoint> restored = ready(testbed.backends().subList(0, LISTED_BACKENDS));
             List<ArrivalPlan.Turn> turns = ArrivalPlan.draw(random, turnsPerSecond, seconds);
             testbed.createNodes(NODE_COUNT);
--- a/lab/src/main/java/fawnlb/lab/testbed/Testbed.java
+++ b/lab/src/main/java/fawnlb/lab/testbed/Testbed.java
@@ -42,6 +42,9 @@
     /** The slow start that the operators state for their hosts. */
     public static final SlowStartProfile SLOW_START = new SlowStartProfile(0.36, 8_900_000_000L, 4, 3_000_000_000L);
 
+    /** The part of a prompt that backends don't find in their caches in the long run. */
+    public static final double UNCACHED_PROMPT_SHARE = 0.35;
+
     /** Attempts of a request and time after a drain, as the nodes' settings have them. */
     private static final int MAX_ATTEMPTS = 6;
 
