--- a/node/src/main/java/fawnlb/client/ListenerGroup.java
+++ b/node/src/main/java/fawnlb/client/ListenerGroup.java
@@ -1,6 +1,5 @@
 package fawnlb.client;
 
-import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -15,11 +14,6 @@
         listeners.add(listener);
     }
 
-    /** The address of a listener, by the order in which the listeners were added. */
-    public InetSocketAddress addressAt(int index) {
-        return listeners.get(index).address();
-    }
-
     /**
      * Accepts the connections that wait in the accept queues, and closes the sockets. Returns when all sockets are
      * closed and all accepted connections were passed to their handlers.
