--- a/node/src/test/java/fawnlb/simulator/SimulatorHostTest.java
+++ b/node/src/test/java/fawnlb/simulator/SimulatorHostTest.java
@@ -101,8 +101,9 @@
     }
 
     private static String malformedBatchMessage(byte[] input) {
-        return assertThrows(MalformedBatchException.class, () -> exchange(input))
-                .getMessage();
+        MalformedBatchException e = assertThrows(MalformedBatchException.class, () -> exchange(input));
+        assertTrue(e.getMessage().endsWith(" at byte " + e.position()), e.getMessage());
+        return e.getMessage();
     }
 
     @Test
