--- a/node/src/main/java/fawnlb/http/HttpClientConnection.java
+++ b/node/src/main/java/fawnlb/http/HttpClientConnection.java
@@ -30,7 +30,7 @@
 
     private final StreamConnection channel;
     private final Timers timers;
-    private ByteBuffer[] unwrittenRequest;
+    private final RequestWriter requestWriter;
     private ResponseParser parser;
     private ResponseHandler responseHandler;
     private Timers.Timer headTimeout;
@@ -87,6 +87,7 @@
     HttpClientConnection(StreamConnection channel, Timers timers) {
         this.channel = channel;
         this.timers = timers;
+        this.requestWriter = new RequestWriter(channel.getSinkChannel());
         channel.getSourceChannel().setReadListener(c -> onReadable());
         channel.getSinkChannel().setWriteListener(c -> onWritable());
         channel.getSourceChannel().resumeReads();
@@ -143,7 +144,7 @@
      * @param request head and body, complete, in any number of buffers
      */
     public void send(ResponseHandler handler, ByteBuffer... request) {
-        unwrittenRequest = request;
+        requestWriter.setRequest(request);
         parser = new ResponseParser();
         headDelivered = false;
         responseHandler = handler;
@@ -169,22 +170,10 @@
 
     private void onWritable() {
         try {
-            while (unwrittenRequest != null && unwrittenRequest[unwrittenRequest.length - 1].hasRemaining()) {
-                if (channel.getSinkChannel().write(unwrittenRequest, 0, unwrittenRequest.length) == 0) {
-                    channel.getSinkChannel().resumeWrites();
-                    return;
-                }
-            }
-            if (!channel.getSinkChannel().flush()) {
-                channel.getSinkChannel().resumeWrites();
-                return;
-            }
-            unwrittenRequest = null;
-            channel.getSinkChannel().suspendWrites();
+            requestWriter.write();
         } catch (IOException e) {
             // The remote side may have responded before it closed, so onReadable() still looks for a response.
             writeFailed = true;
-            channel.getSinkChannel().suspendWrites();
             channel.getSourceChannel().wakeupReads();
         }
     }
@@ -294,7 +283,7 @@
         if (closed) {
             return;
         }
-        boolean written = unwrittenRequest == null;
+        boolean written = requestWriter.isDone();
         boolean reusable = written && parser.head().keepAlive() && !parser.hasSurplusBytes();
         ResponseHandler handler = detachHandler();
         if (reusable) {
@@ -311,7 +300,7 @@
         if (closed) {
             return;
         }
-        boolean written = unwrittenRequest == null;
+        boolean written = requestWriter.isDone();
         ResponseHandler handler = detachHandler();
         close();
         if (handler != null) {
