--- a/lab/src/main/java/fawnlb/lab/net/HttpRequest.java
+++ b/lab/src/main/java/fawnlb/lab/net/HttpRequest.java
@@ -5,7 +5,7 @@
 /**
  * A complete HTTP request.
  *
- * @param path the request target with its query
+ * @param path path with query, as in the request line
  * @param headers values by header name in lower case; of a repeated header the last value
  */
 public record HttpRequest(String method, String path, Map<String, String> headers, byte[] body) {
--- a/lab/src/main/java/fawnlb/lab/scenario/StartWithoutDiscovery.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/StartWithoutDiscovery.java
@@ -183,8 +183,9 @@
                 .map(endpoint -> new Snapshot.Entry(endpoint, writtenAt, writtenAt))
                 .toList();
         new SnapshotStore(snapshotFile).write(new Snapshot(writtenAt, LISTED_REVISION, entries));
-        boolean probation = startCase.initialState() == StartCase.InitialState.RESTORED_LIST;
+        boolean checkEndpoints = startCase.initialState() == StartCase.InitialState.RESTORED_LIST;
         return Map.of(
-                "start", "{\"snapshot\":{\"file\":\"" + snapshotFile + "\"},\"probation\":{\"on\":" + probation + "}}");
+                "start",
+                "{\"snapshot\":{\"file\":\"" + snapshotFile + "\"},\"probation\":{\"on\":" + checkEndpoints + "}}");
     }
 }
--- a/lab/src/test/java/fawnlb/lab/engine/EngineTest.java
+++ b/lab/src/test/java/fawnlb/lab/engine/EngineTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void cachedPromptTokensAreNotPrefilledAgain() {
+    public void cachedPromptTokensAreNotProcessedTwice() {
         Engine engine = new Engine(PROFILE, SLOW_START, 0);
         engine.offer(0, sequence("a", 1, 500, 1));
         runSteps(engine, 0, 2);
@@ -139,9 +139,9 @@
         runSteps(engine, 0, 5);
         engine.offer(0, sequence("large", 2, 7000, 1));
         runSteps(engine, 0, 8);
-        Sequence again = sequence("a", 1, 4500, 1);
-        engine.offer(0, again);
+        Sequence evicted = sequence("a", 1, 4500, 1);
+        engine.offer(0, evicted);
         runSteps(engine, 0, 1);
-        assertEquals(0, again.cachedPromptTokens());
+        assertEquals(0, evicted.cachedPromptTokens());
     }
 }
