--- a/node/src/main/java/fawnlb/decision/Endpoint.java
+++ b/node/src/main/java/fawnlb/decision/Endpoint.java
@@ -27,7 +27,7 @@
         return new Endpoint(id, phase, startedAt, size, zone, cell, kind, capacity);
     }
 
-    /** The same endpoint as an entry that removes it from the list. */
+    /** The same endpoint as an entry of an update that removes it. */
     public Endpoint asGone() {
         return new Endpoint(id, EndpointPhase.GONE, startedAt, size, zone, cell, kind, capacity);
     }
--- a/node/src/main/java/fawnlb/decision/LoadBalancerEvent.java
+++ b/node/src/main/java/fawnlb/decision/LoadBalancerEvent.java
@@ -8,7 +8,7 @@
     /**
      * The endpoint list has changed, or could not be obtained.
      *
-     * @param version the version of the list, as discovery numbers it
+     * @param version the version of the endpoint list, as discovery numbers it
      * @param endpoints entries as {@link EndpointUpdateKind} says
      */
     record EndpointsUpdated(EndpointUpdateKind kind, long version, List<Endpoint> endpoints)
@@ -21,7 +21,7 @@
      * @param classIndex the number of its class, see {@link LoadBalancerSettings#requestClass}
      * @param tenantIndex the number of its tenant in {@link LoadBalancerSettings#tenants}
      * @param sessionKey a hash of the session that it belongs to
-     * @param prefixKey a hash of the beginning of its prompt, which other requests may share
+     * @param prefixKey a hash of the prefix of its prompt that other requests may share
      * @param timeoutNanos how long the client waits
      * @param workHint the client's estimate of the work
      * @param prefixTokens how many of the prompt's tokens belong to the prefix
--- a/node/src/main/java/fawnlb/policy/EndpointState.java
+++ b/node/src/main/java/fawnlb/policy/EndpointState.java
@@ -5,8 +5,8 @@
 
 /**
  * What this instance knows of one endpoint. It holds fields only: each group below is written by the class that is
- * named there, and read by whoever selects endpoints. The fields stand in one flat object because the median over all
- * ready endpoints is taken for each request.
+ * named there, and read by the classes that select endpoints. The fields stand in one flat object because the median
+ * over all ready endpoints is taken for each request.
  */
 final class EndpointState {
     final long id;
--- a/node/src/main/java/fawnlb/policy/EndpointTable.java
+++ b/node/src/main/java/fawnlb/policy/EndpointTable.java
@@ -14,7 +14,7 @@
 
 /**
  * All endpoints that this instance knows, the hash ring of those that are listed, and the counts over them that
- * selection needs. An endpoint that left the list stays until the last attempt on it has ended.
+ * selection needs. An endpoint that is no longer listed stays until the last attempt on it has ended.
  */
 final class EndpointTable {
     /** Learns of each listed entry before the table takes it over. */
--- a/node/src/main/java/fawnlb/policy/RetryBudget.java
+++ b/node/src/main/java/fawnlb/policy/RetryBudget.java
@@ -13,7 +13,7 @@
     private final double maxTokens;
     private double tokens;
 
-    /** Creates a full budget of one among so many instances. */
+    /** Creates a full budget for one of the given number of instances. */
     RetryBudget(int instances) {
         this.maxTokens = Math.max(1, BURST / Math.max(1, instances));
         this.tokens = maxTokens;
--- a/node/src/test/java/fawnlb/policy/DiscoveryWatchTest.java
+++ b/node/src/test/java/fawnlb/policy/DiscoveryWatchTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void openingIsRepeatedWhenNothingIsHeard() {
+    public void openingIsRepeatedWithoutAnAnswer() {
         watch.onUpdate(EndpointUpdateKind.CACHED, NOW);
         long retryAt = watch.onOpening(NOW + S);
         assertFalse(watch.isDue(NOW + S));
--- a/node/src/test/java/fawnlb/policy/LoadBoundTest.java
+++ b/node/src/test/java/fawnlb/policy/LoadBoundTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void limitNarrowsAgainWhenFewRequestsSpill() {
+    public void limitNarrowsWhenFewRequestsSpill() {
         long before = bound.limit(399, 4);
         for (int i = 0; i < 1000; i++) {
             bound.recordSpilled();
--- a/node/src/test/java/fawnlb/policy/PendingQueueTest.java
+++ b/node/src/test/java/fawnlb/policy/PendingQueueTest.java
@@ -17,7 +17,7 @@
     private final ActiveRequest second = PolicyFixtures.request(2);
 
     @Test
-    public void requestsAreTakenInOrderOnceEvenIfAddedAgain() {
+    public void requestsAreTakenOnceInOrderEvenIfReadded() {
         queue.add(first);
         queue.add(second);
         List<ActiveRequest> taken = new ArrayList<>();
--- a/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
+++ b/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
@@ -89,7 +89,7 @@
         host.play(10 * S, Traffic.steady(40));
         host.list(
                 EndpointUpdateKind.DELTA,
-                endpoint(13, EndpointPhase.READY, host.now),
+                endpoint(13, EndpointPhase.READY, host.now()),
                 endpoint(14, EndpointPhase.READY, 0));
         host.play(10 * S, Traffic.steady(40));
         for (long id = 1; id <= 6; id++) {
@@ -98,7 +98,7 @@
             host.list(
                     EndpointUpdateKind.DELTA,
                     endpoint(id, EndpointPhase.GONE, 0),
-                    endpoint(20 + id, EndpointPhase.READY, host.now));
+                    endpoint(20 + id, EndpointPhase.READY, host.now()));
         }
         host.play(15 * S, Traffic.steady(40));
         host.list(
@@ -114,7 +114,7 @@
     @Test
     public void replacementInTurnReleasesTheOldest() {
         SimulatedHost host = host(2, CHAT);
-        long start = host.now - 60 * S;
+        long start = host.now() - 60 * S;
         Endpoint[] all = LongStream.rangeClosed(1, 14)
                 .mapToObj(id -> endpoint(id, EndpointPhase.READY, start + id * S))
                 .toArray(Endpoint[]::new);
@@ -126,7 +126,7 @@
             host.list(
                     EndpointUpdateKind.DELTA,
                     endpoint(id, EndpointPhase.GONE, start + id * S),
-                    endpoint(100 + id, EndpointPhase.READY, host.now));
+                    endpoint(100 + id, EndpointPhase.READY, host.now()));
             behave(host, 14, endpoint -> true, Behavior.healthy(100 * MS, (id < 5 ? 4 : 10) * MS));
         }
         host.play(12 * S, Traffic.steady(60));
@@ -137,7 +137,7 @@
     public void restartsAndSlowStart() {
         SimulatedHost host = host(3, CHAT);
         Endpoint[] cold = LongStream.rangeClosed(1, 4)
-                .mapToObj(id -> endpoint(id, EndpointPhase.READY, host.now - id * S))
+                .mapToObj(id -> endpoint(id, EndpointPhase.READY, host.now() - id * S))
                 .toArray(Endpoint[]::new);
         host.list(EndpointUpdateKind.CACHED, cold);
         host.play(6 * S, Traffic.steady(20));
@@ -146,12 +146,12 @@
         for (long id = 1; id <= 9; id += 2) {
             host.list(EndpointUpdateKind.DELTA, endpoint(id, EndpointPhase.GONE, 0));
             host.play(S, Traffic.steady(40));
-            host.list(EndpointUpdateKind.DELTA, endpoint(id, EndpointPhase.READY, host.now - id * S));
+            host.list(EndpointUpdateKind.DELTA, endpoint(id, EndpointPhase.READY, host.now() - id * S));
             host.play(2 * S, Traffic.steady(40));
             host.list(
                     EndpointUpdateKind.DELTA,
-                    endpoint(id, EndpointPhase.DRAINING, host.now),
-                    endpoint(id, EndpointPhase.READY, host.now));
+                    endpoint(id, EndpointPhase.DRAINING, host.now()),
+                    endpoint(id, EndpointPhase.READY, host.now()));
         }
         host.play(20 * S, Traffic.steady(50));
         assertEquals("3028 2c10ace1a7be6d14f99f5f917930d8cadcea5fc9918d2280566ee4b9e42df4e4", host.result());
@@ -353,7 +353,7 @@
         host.play(6 * S, Traffic.steady(60));
         host.list(
                 EndpointUpdateKind.FULL,
-                endpoint(3, EndpointPhase.READY, host.now),
+                endpoint(3, EndpointPhase.READY, host.now()),
                 endpoint(6, EndpointPhase.READY, 0),
                 endpoint(9, EndpointPhase.READY, 0));
         host.play(6 * S, Traffic.steady(40));
@@ -453,7 +453,7 @@
             host.behaviors.put(1 + id % 24, Behavior.healthy(random.nextLong(S), random.nextLong(12 * MS)));
             EndpointPhase phase = EndpointPhase.values()[random.nextInt(3)];
             EndpointUpdateKind kind = random.nextInt(6) == 0 ? EndpointUpdateKind.FAILED : EndpointUpdateKind.DELTA;
-            host.list(kind, endpoint(id, phase, random.nextBoolean() ? 0 : host.now - random.nextLong(10 * S)));
+            host.list(kind, endpoint(id, phase, random.nextBoolean() ? 0 : host.now() - random.nextLong(10 * S)));
             host.play(800 * MS, new Traffic(40 + random.nextInt(80), 60, 400, random.nextDouble() / 2, 4, 3, 0.1));
         }
         assertEquals("4311 3ff0e2983496b85a957942bbd37a70a0cdf14b24506fbdb11c3fd38ca240b813", host.result());
--- a/node/src/test/java/fawnlb/policy/RolloutPredictorTest.java
+++ b/node/src/test/java/fawnlb/policy/RolloutPredictorTest.java
@@ -12,7 +12,7 @@
 public class RolloutPredictorTest {
     private final RolloutPredictor rollout = new RolloutPredictor();
 
-    /** So many endpoints, of which each started a second after the one before. */
+    /** Endpoints of which each started a second after the one before. */
     private List<EndpointState> startedInTurn(int count) {
         List<EndpointState> endpoints = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/node/src/test/java/fawnlb/policy/SimulatedHost.java
+++ b/node/src/test/java/fawnlb/policy/SimulatedHost.java
@@ -20,12 +20,10 @@
 import fawnlb.decision.LoadBalancerSettings;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
 /**
@@ -72,8 +70,6 @@
         }
     }
 
-    private record Due(long at, long order, Runnable what) {}
-
     /** An attempt that has not ended yet. */
     private static final class Running {
         final StartAttempt send;
@@ -105,15 +101,12 @@
     final Deque<EndpointUpdateKind> discoveryAnswers = new ArrayDeque<>();
 
     List<Endpoint> listed = List.of();
-    long now = 100 * S;
+    private final EventQueue queue = new EventQueue(100 * S);
 
     private final LoadBalancerSettings settings;
     private final BoundedLoadBalancer module;
     private final ActionDigest digest = new ActionDigest();
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private final Map<Long, Exchange> exchanges = new HashMap<>();
-    private long order;
     private long requestId;
 
     SimulatedHost(LoadBalancerSettings settings, long seed) {
@@ -127,36 +120,34 @@
     }
 
     void handle(LoadBalancerEvent event) {
-        module.onEvent(now, event);
+        module.onEvent(now(), event);
     }
 
     void list(EndpointUpdateKind kind, Endpoint... entries) {
         handle(new EndpointsUpdated(kind, 1, List.of(entries)));
     }
 
-    void after(long nanos, Runnable what) {
-        queue.add(new Due(now + nanos, order++, what));
+    long now() {
+        return queue.now();
+    }
+
+    void after(long nanos, Runnable callback) {
+        queue.schedule(now() + nanos, callback);
     }
 
     /** Lets this much time pass without new requests. */
     void pass(long nanos) {
-        long end = now + nanos;
-        while (!queue.isEmpty() && queue.peek().at() <= end) {
-            Due due = queue.poll();
-            now = due.at();
-            due.what().run();
-        }
-        now = end;
+        queue.advanceTo(now() + nanos);
     }
 
     /** Lets this much time pass, in which requests arrive. */
     void play(long nanos, Traffic traffic) {
-        long end = now + nanos;
+        long end = now() + nanos;
         long mean = (long) (S / traffic.perSecond());
         while (true) {
             long gap = random.nextLong(2 * mean) + 1;
-            if (now + gap > end) {
-                pass(end - now);
+            if (now() + gap > end) {
+                pass(end - now());
                 return;
             }
             pass(gap);
@@ -210,7 +201,7 @@
     // ---- Actions --------------------------------------------------------------------------------------
 
     private void act(LoadBalancerAction action) {
-        digest.add(now, action);
+        digest.add(now(), action);
         if (action instanceof StartAttempt send) {
             start(send);
         } else if (action instanceof CancelAttempt cancel) {
@@ -221,7 +212,7 @@
         } else if (action instanceof FailRequest fail) {
             answer(fail.requestId(), false);
         } else if (action instanceof SetTimer timer) {
-            after(Math.max(0, timer.dueAt() - now), () -> handle(new TimerFired(timer.token())));
+            after(Math.max(0, timer.dueAt() - now()), () -> handle(new TimerFired(timer.token())));
         } else if (action instanceof WatchEndpoints) {
             answerSubscription();
         }
@@ -268,7 +259,7 @@
         long first = behavior.firstTokenNanos() + jitter;
         if (fails && !behavior.failsMidStream()) {
             fail(attempt, behavior.failure(), first);
-        } else if (now + first > send.deadline()) {
+        } else if (now() + first > send.deadline()) {
             timeOut(attempt);
         } else {
             stream(exchange, attempt, first, fails);
@@ -277,7 +268,7 @@
 
     private void fail(Running attempt, AttemptOutcome outcome, long took) {
         boolean silent = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.STALLED;
-        if (silent || now + took > attempt.send.deadline()) {
+        if (silent || now() + took > attempt.send.deadline()) {
             timeOut(attempt);
         } else {
             after(took, () -> end(attempt, outcome, took, false));
@@ -285,7 +276,7 @@
     }
 
     private void timeOut(Running attempt) {
-        long timeoutNanos = attempt.send.deadline() - now;
+        long timeoutNanos = attempt.send.deadline() - now();
         after(
                 timeoutNanos,
                 () -> end(
--- a/node/src/test/java/fawnlb/policy/StreamPaceTrackerTest.java
+++ b/node/src/test/java/fawnlb/policy/StreamPaceTrackerTest.java
@@ -80,10 +80,10 @@
         record(1, 400, 3 * S);
         record(3, 400, 3 * S);
         double fastest = pace.fastestKind();
-        long keptKeys = LongStream.range(0, 10_000)
+        long keysOfSlowKind = LongStream.range(0, 10_000)
                 .filter(key -> pace.keepsKey(endpoint(1), key, fastest))
                 .count();
-        assertEquals(10_000 / 3.0, keptKeys, 500);
+        assertEquals(10_000 / 3.0, keysOfSlowKind, 500);
         assertTrue(LongStream.range(0, 10_000).allMatch(key -> pace.keepsKey(endpoint(0), key, fastest)));
     }
 
