--- a/node/src/test/java/fawnlb/policy/EndpointSelectionTest.java
+++ b/node/src/test/java/fawnlb/policy/EndpointSelectionTest.java
@@ -8,8 +8,6 @@
 import fawnlb.decision.AttemptOutcome;
 import fawnlb.decision.EndpointPhase;
 import fawnlb.decision.EndpointUpdateKind;
-import fawnlb.decision.Idempotency;
-import fawnlb.decision.IdempotencyScope;
 import fawnlb.decision.LoadBalancerSettings;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -32,8 +30,7 @@
 
     @Test
     void selectionDoesNotDependOnTheOrderOfUpdates() {
-        LoadBalancerHarness whole =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(12);
+        LoadBalancerHarness whole = LoadBalancerHarness.withEndpoints(12);
         LoadBalancerHarness bits = new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings())
                 .updateEndpoints(
                         EndpointUpdateKind.CACHED,
@@ -52,8 +49,7 @@
 
     @Test
     void joiningAndLeavingEndpointsMoveOnlyTheirOwnKeys() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(12);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(12);
         long[] before = primaryEndpoints(harness);
         harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(99, EndpointPhase.READY, 0, 0));
         long[] joined = primaryEndpoints(harness);
@@ -68,8 +64,7 @@
 
     @Test
     void leavingAndReturningWithinOneUpdateKeepsSelection() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(6);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(6);
         long[] before = primaryEndpoints(harness);
         harness.updateEndpoints(
                 EndpointUpdateKind.DELTA,
@@ -98,8 +93,7 @@
 
     @Test
     void noEndpointExceedsTheBoundAndAHotKeySpreads() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(10);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(10);
         Map<Long, Integer> out = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             harness.arrive(5, 5);
@@ -111,8 +105,7 @@
 
     @Test
     void drainingEndpointsReceiveNothingNew() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(3);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(3);
         long home = harness.primaryEndpoint(77);
         harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(home, EndpointPhase.DRAINING, 0, (int) (home % 3)));
         assertNotEquals(home, harness.primaryEndpoint(77));
@@ -123,8 +116,7 @@
 
     @Test
     void firstPermittedEndpointIsUsedWhenAllAreAtTheBound() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(1);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(1);
         for (int i = 0; i < 50; i++) {
             harness.arrive(0, i + 1);
         }
@@ -133,8 +125,7 @@
 
     @Test
     void requestsWithoutKeysSpreadByRequestId() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(10);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(10);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 100; i++) {
             used.add(harness.primaryEndpoint(0));
@@ -145,8 +136,7 @@
     @Test
     void everyOutcomeLowersTheInFlightCount() {
         for (AttemptOutcome outcome : AttemptOutcome.values()) {
-            LoadBalancerHarness harness =
-                    new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
+            LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(5);
             long home = harness.primaryEndpoint(3);
             for (int i = 0; i < LoadBound.MIN_BOUND; i++) {
                 harness.arrive(0, 3);
@@ -160,19 +150,16 @@
 
     @Test
     void ownZoneIsPreferredForSomeKeysWhereCrossingCostsMore() {
-        LoadBalancerHarness free =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(12);
-        LoadBalancerHarness priced = new LoadBalancerHarness(LoadBalancerHarness.settings(
-                        Idempotency.IDEMPOTENT,
-                        IdempotencyScope.ALL,
-                        LoadBalancerSettings.DiscoveryMode.PUSHED,
-                        new LoadBalancerSettings.Costs(0.08, 0.05)))
+        LoadBalancerHarness free = LoadBalancerHarness.withEndpoints(12);
+        LoadBalancerHarness priced = new LoadBalancerHarness(new TestSettings()
+                        .costs(new LoadBalancerSettings.Costs(0.08, 0.05))
+                        .build())
                 .withReadyEndpoints(12);
-        long freeNear =
+        long freeLocal =
                 LongStream.of(primaryEndpoints(free)).filter(id -> id % 3 == 0).count();
-        long pricedNear = LongStream.of(primaryEndpoints(priced))
+        long pricedLocal = LongStream.of(primaryEndpoints(priced))
                 .filter(id -> id % 3 == 0)
                 .count();
-        assertTrue(pricedNear > freeNear + KEYS / 10 && pricedNear < KEYS * 2 / 3, freeNear + " " + pricedNear);
+        assertTrue(pricedLocal > freeLocal + KEYS / 10 && pricedLocal < KEYS * 2 / 3, freeLocal + " " + pricedLocal);
     }
 }
--- a/node/src/test/java/fawnlb/policy/LoadAdaptationTest.java
+++ b/node/src/test/java/fawnlb/policy/LoadAdaptationTest.java
@@ -15,29 +15,30 @@
 import fawnlb.decision.IdempotencyScope;
 import fawnlb.decision.LoadBalancerAction.RejectRequest;
 import fawnlb.decision.LoadBalancerAction.StartAttempt;
-import fawnlb.decision.LoadBalancerSettings;
+import java.util.ArrayDeque;
+import java.util.Deque;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Set;
+import java.util.stream.Collectors;
+import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
 class LoadAdaptationTest {
     @Test
     void rarePrefixStaysOnOneEndpointAndAHotOneSpreads() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(20);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(20);
         Set<Long> rare = new HashSet<>();
         Set<Long> hot = new HashSet<>();
         for (int i = 0; i < 600; i++) {
             boolean isRare = i % 150 == 149;
             harness.arrive(isRare ? 5000 : i % 2 == 0 ? 6000 : 10_000 + i, 1 + i);
-            StartAttempt send = harness.lastAttempt();
+            StartAttempt started = harness.lastAttempt();
             if (i > 300 && isRare) {
-                rare.add(send.endpointId());
+                rare.add(started.endpointId());
             } else if (i > 300 && i % 2 == 0) {
-                hot.add(send.endpointId());
+                hot.add(started.endpointId());
             }
-            harness.endAttempt(send, 0, AttemptOutcome.SERVED, true);
+            harness.endAttempt(started, 0, AttemptOutcome.SERVED, true);
         }
         assertEquals(1, rare.size());
         assertTrue(hot.size() >= 8, "hot prefix on " + hot.size());
@@ -45,8 +46,7 @@
 
     @Test
     void unreachableEndpointIsEjectedUntilItAnswers() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(5);
         long home = harness.primaryEndpoint(8);
         harness.arrive(0, 8);
         harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.CONNECT_FAILED, true);
@@ -55,7 +55,7 @@
         assertEquals(home, harness.primaryEndpoint(8));
     }
 
-    /** Three replicas of a zone that can't be reached tell of all, as long as none of them answers. */
+    /** Three unreachable endpoints of a zone stand for all of it, as long as none of them answers. */
     @Test
     void unreachableZoneIsEjectedUntilAnEndpointOfItAnswers() {
         for (int zones = 1; zones <= 2; zones++) {
@@ -63,7 +63,7 @@
             int several = zones;
             harness.updateEndpoints(
                     EndpointUpdateKind.FULL,
-                    java.util.stream.LongStream.rangeClosed(1, 40)
+                    LongStream.rangeClosed(1, 40)
                             .mapToObj(id -> endpoint(id, EndpointPhase.READY, 0, (int) (id % several)))
                             .toArray(Endpoint[]::new));
             Set<Long> unreachable = new HashSet<>();
@@ -78,12 +78,12 @@
             }
             assertEquals(zones == 1, sentTo(harness, several));
             harness.now += S;
-            assertTrue(sentTo(harness, several), "tried again after a second");
+            assertTrue(sentTo(harness, several), "retried after a second");
             assertTrue(sentTo(harness, several), "answers end it");
         }
     }
 
-    /** Whether any of 60 requests, all of them answered, goes to the last of so many zones. */
+    /** Whether any of 60 requests, all of which are served, goes to the last zone. */
     private static boolean sentTo(LoadBalancerHarness harness, int zones) {
         boolean sent = false;
         for (long session = 1000; session < 1060; session++) {
@@ -94,8 +94,7 @@
 
     @Test
     void failedConnectsCostNoRetryBudget() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(20);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(20);
         for (long session = 1; session <= 40; session++) {
             harness.now += S;
             harness.arrive(0, session);
@@ -108,20 +107,18 @@
 
     @Test
     void slowStartEndpointReceivesLittleAtFirstAndItsShareOnceWarm() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(4);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(4);
         playTraffic(harness, 400);
         harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(50, EndpointPhase.READY, harness.now, 0));
-        int cold = playTraffic(harness, 400);
+        int inSlowStart = playTraffic(harness, 400);
         harness.now += 10 * S;
         int warm = playTraffic(harness, 400);
-        assertTrue(cold < warm / 2 && warm > 40, cold + " cold, " + warm + " warm");
+        assertTrue(inSlowStart < warm / 2 && warm > 40, inSlowStart + " in slow start, " + warm + " warm");
     }
 
     @Test
     void slowStartEndsForAnEndpointThatDrainedAndReturned() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(4);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(4);
         long start = harness.now;
         harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(50, EndpointPhase.READY, start, 0));
         harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(50, EndpointPhase.DRAINING, start, 0));
@@ -130,7 +127,7 @@
         assertTrue(playTraffic(harness, 400) > 40);
     }
 
-    /** So many requests over four seconds; how many of them went to replica 50. */
+    /** Serves requests, 100 a second, and returns how many of them endpoint 50 received. */
     private static int playTraffic(LoadBalancerHarness harness, int requests) {
         int at50 = 0;
         for (int i = 0; i < requests; i++) {
@@ -140,11 +137,10 @@
         return at50;
     }
 
-    /** One replica that slows down must neither keep its part of the load nor have sessions refused for it. */
+    /** One endpoint that slows down must neither keep its share of the load nor cause rejections. */
     @Test
     void slowEndpointReceivesLessAndNothingIsRejected() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(5);
         int before = attemptsOn(harness, 3, 100 * MS);
         int slow = attemptsOn(harness, 3, 3 * S);
         int after = attemptsOn(harness, 3, 100 * MS);
@@ -152,33 +148,33 @@
         assertEquals(0, harness.actionsOf(RejectRequest.class).size());
     }
 
-    /** How many of 600 requests replica {@code id} gets if its first tokens take so long; 20 are always out. */
+    /** How many of 600 requests an endpoint receives if its first tokens take this long; 20 are always in flight. */
     private static int attemptsOn(LoadBalancerHarness harness, long id, long firstToken) {
-        java.util.ArrayDeque<StartAttempt> out = new java.util.ArrayDeque<>();
-        int there = 0;
+        Deque<StartAttempt> inFlight = new ArrayDeque<>();
+        int received = 0;
         for (int i = 0; i < 600; i++) {
             harness.now += 10 * MS;
             harness.arrive(0, 50_000 + i);
-            StartAttempt send = harness.lastAttempt();
-            there += send.endpointId() == id ? 1 : 0;
-            harness.startResponse(send, 0, send.endpointId() == id ? firstToken : 100 * MS);
-            out.add(send);
-            if (out.size() > 20) {
-                harness.endAttempt(out.poll(), 0, AttemptOutcome.SERVED, true, 4 * S);
+            StartAttempt started = harness.lastAttempt();
+            received += started.endpointId() == id ? 1 : 0;
+            harness.startResponse(started, 0, started.endpointId() == id ? firstToken : 100 * MS);
+            inFlight.add(started);
+            if (inFlight.size() > 20) {
+                harness.endAttempt(inFlight.poll(), 0, AttemptOutcome.SERVED, true, 4 * S);
             }
         }
-        out.forEach(send -> harness.endAttempt(send, 0, AttemptOutcome.SERVED, true, 4 * S));
-        return there;
+        inFlight.forEach(started -> harness.endAttempt(started, 0, AttemptOutcome.SERVED, true, 4 * S));
+        return received;
     }
 
-    /** A stream that has only begun when its replica is replaced is cut: those next in turn get little. */
+    /** A stream that has only begun when its endpoint is replaced is cut: those replaced next receive little. */
     @Test
     void oldestEndpointsReceiveLessDuringARollout() {
         LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings());
         long start = harness.now - 100 * S;
         harness.updateEndpoints(
                 EndpointUpdateKind.FULL,
-                java.util.stream.LongStream.rangeClosed(1, 14)
+                LongStream.rangeClosed(1, 14)
                         .mapToObj(id -> endpoint(id, EndpointPhase.READY, start + id * S, 0))
                         .toArray(Endpoint[]::new));
         int before = attemptsOn(harness, 3, 100 * MS);
@@ -191,11 +187,10 @@
         assertTrue(during < before * 0.85 && after > during * 1.4, before + ", " + during + " and " + after);
     }
 
-    /** A replica that vanished says nothing: its request goes elsewhere while there is time to be in time. */
+    /** An endpoint that vanished is silent: its request is retried while there is time to meet the objective. */
     @Test
     void attemptOnASilentEndpointTimesOutEarlyUnlessNotIdempotent() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(5);
         harness.arrive(0, 8);
         StartAttempt first = harness.lastAttempt();
         assertEquals(harness.now + S / 2, first.deadline());
@@ -203,110 +198,15 @@
         harness.endAttempt(first, 0, AttemptOutcome.TIMEOUT, false, S / 2);
         assertNotEquals(first.endpointId(), harness.lastAttempt().endpointId());
         assertEquals(harness.now + S / 2, harness.lastAttempt().deadline());
-        LoadBalancerHarness unsafe = new LoadBalancerHarness(
-                        LoadBalancerHarness.settings(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL))
-                .withReadyEndpoints(5);
+        LoadBalancerHarness unsafe =
+                LoadBalancerHarness.withEndpoints(5, Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL);
         unsafe.arrive(0, 8);
         assertTrue(unsafe.lastAttempt().deadline() >= unsafe.now + S);
     }
 
-    @Test
-    void lateFirstTokensShedSessionsUntilTheyRecover() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
-        run(harness, 100, 900 * MS, S);
-        int refused = harness.actionsOf(RejectRequest.class).size();
-        assertTrue(refused > 20, "refused " + refused);
-        run(harness, 400, 10 * MS, S);
-        int before = harness.actionsOf(RejectRequest.class).size();
-        run(harness, 100, 10 * MS, S);
-        assertEquals(before, harness.actionsOf(RejectRequest.class).size());
-    }
-
-    @Test
-    void slowStreamsShedSessionsUntilTheyRecover() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
-        run(harness, 200, 10 * MS, S);
-        assertEquals(0, harness.actionsOf(RejectRequest.class).size());
-        run(harness, 300, 10 * MS, 6 * S);
-        int refused = harness.actionsOf(RejectRequest.class).size();
-        assertTrue(refused > 50 && refused < 250, "refused " + refused);
-        run(harness, 1500, 10 * MS, S);
-        int before = harness.actionsOf(RejectRequest.class).size();
-        run(harness, 100, 10 * MS, S);
-        assertEquals(before, harness.actionsOf(RejectRequest.class).size());
-    }
-
-    @Test
-    void someSessionsPassUnderTheWorstOverload() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
-        run(harness, 200, 10 * MS, 20 * MS);
-        run(harness, 1000, 10 * MS, 3600 * S);
-        int before = harness.startedAttempts().size();
-        run(harness, 1000, 10 * MS, 3600 * S);
-        assertTrue(
-                harness.startedAttempts().size() > before + 50,
-                "sent " + (harness.startedAttempts().size() - before));
-    }
-
-    private static void run(LoadBalancerHarness harness, int requests, long firstToken, long stream) {
-        for (int i = 0; i < requests; i++) {
-            int before = harness.startedAttempts().size();
-            harness.arrive(0, 1 + i);
-            if (harness.startedAttempts().size() > before) {
-                StartAttempt send = harness.lastAttempt();
-                harness.startResponse(send, 0, firstToken);
-                harness.endAttempt(send, 0, AttemptOutcome.SERVED, true, firstToken + stream);
-            }
-        }
-    }
-
-    @Test
-    void tenantAboveItsShareIsShedFirst() {
-        LoadBalancerSettings base = LoadBalancerHarness.idempotentSettings();
-        LoadBalancerHarness harness = new LoadBalancerHarness(new LoadBalancerSettings(
-                        0,
-                        1,
-                        0,
-                        MS,
-                        false,
-                        base.discoveryMode(),
-                        base.loadReporting(),
-                        List.of(),
-                        base.requestClasses(),
-                        List.of(new LoadBalancerSettings.Tenant(0.5, 1), new LoadBalancerSettings.Tenant(0.5, 1)),
-                        base.limits(),
-                        base.endpointLifecycle(),
-                        base.costs()))
-                .withReadyEndpoints(5);
-        int[] asked = new int[2];
-        int[] served = new int[2];
-        for (int i = 0; i < 1200; i++) {
-            int tenant = i % 4 == 0 ? 1 : 0;
-            int before = harness.startedAttempts().size();
-            harness.arrive(0, 1 + i, tenant);
-            boolean sent = harness.startedAttempts().size() > before;
-            if (i >= 600) {
-                asked[tenant]++;
-                served[tenant] += sent ? 1 : 0;
-            }
-            if (sent) {
-                StartAttempt send = harness.lastAttempt();
-                harness.startResponse(send, 0, i % 2 == 0 ? 900 * MS : MS);
-                harness.endAttempt(send, 0, AttemptOutcome.SERVED, true, S);
-            }
-        }
-        double flooding = served[0] / (double) asked[0];
-        double modest = served[1] / (double) asked[1];
-        assertTrue(modest > flooding + 0.2, flooding + " and " + modest);
-    }
-
     @Test
     void boundWidensOnlyWhenMostRequestsSpill() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(4);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(4);
         for (int i = 0; i < 400; i++) {
             harness.arrive(0, 1 + i % 7);
         }
@@ -324,7 +224,7 @@
         long busiest = harness.startedAttempts().stream()
                 .mapToLong(StartAttempt::endpointId)
                 .boxed()
-                .collect(java.util.stream.Collectors.groupingBy(r -> r, java.util.stream.Collectors.counting()))
+                .collect(Collectors.groupingBy(r -> r, Collectors.counting()))
                 .values()
                 .stream()
                 .mapToLong(Long::longValue)
@@ -333,12 +233,11 @@
         assertTrue(busiest > LoadBound.bound(400, 4, LoadBound.UNWIDENED), "busiest " + busiest);
     }
 
-    /** First events forgive quick failures; a stall in mid-answer only a whole answer does. */
+    /** A first token forgives quick failures; a stall of a stream is forgiven by a complete response only. */
     @Test
     void midStreamStallEjectsUntilACompleteResponse() {
         for (AttemptOutcome outcome : new AttemptOutcome[] {AttemptOutcome.STALLED, AttemptOutcome.RESET}) {
-            LoadBalancerHarness harness =
-                    new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
+            LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(5);
             long home = harness.primaryEndpoint(11);
             harness.arrive(0, 11);
             StartAttempt first = harness.lastAttempt();
@@ -354,32 +253,14 @@
         }
     }
 
-    /** Before its first event a stall is one more attempt that was in vain. */
+    /** A stall before the first token is a failed attempt like any other. */
     @Test
     void stallBeforeTheFirstTokenIsRetried() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(5);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(5);
         harness.arrive(0, 11);
         StartAttempt first = harness.lastAttempt();
         harness.endAttempt(first, 0, AttemptOutcome.STALLED, false);
         assertEquals(2, harness.startedAttempts().size());
         assertNotEquals(first.endpointId(), harness.lastAttempt().endpointId());
     }
-
-    /**
-     * Answers of microseconds that came to take milliseconds on a busy machine once had a quiet node refuse sessions.
-     */
-    @Test
-    void veryShortStreamsShedNothing() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(4);
-        for (int i = 0; i < 800; i++) {
-            harness.arrive(0, i);
-            StartAttempt send = harness.lastAttempt();
-            long stream = i < 400 ? 20_000 : 40 * MS;
-            harness.startResponse(send, 0, 100_000);
-            harness.endAttempt(send, 0, AttemptOutcome.SERVED, true, 100_000 + stream);
-            assertTrue(harness.actionsOf(RejectRequest.class).isEmpty(), "request " + i);
-        }
-    }
 }
--- a/node/src/test/java/fawnlb/policy/LoadBalancerHarness.java
+++ b/node/src/test/java/fawnlb/policy/LoadBalancerHarness.java
@@ -13,17 +13,13 @@
 import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
 import fawnlb.decision.LoadBalancerEvent.RequestArrived;
 import fawnlb.decision.LoadBalancerSettings;
-import fawnlb.decision.LoadBalancerSettings.Costs;
 import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
 import fawnlb.decision.LoadBalancerSettings.EndpointLifecycle;
-import fawnlb.decision.LoadBalancerSettings.Limits;
-import fawnlb.decision.LoadBalancerSettings.LoadReporting;
-import fawnlb.decision.LoadBalancerSettings.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.LongStream;
 
-/** One module under test with its settings, its clock and what it asked for. */
+/** A load balancer under test with its settings, its clock and the actions that it asked for. */
 final class LoadBalancerHarness {
     static final long MS = 1_000_000;
     static final long S = 1_000 * MS;
@@ -37,84 +33,40 @@
         loadBalancer = new BoundedLoadBalancer(settings, 7, actions::add);
     }
 
-    static LoadBalancerSettings settings(Idempotency idempotency, IdempotencyScope scope) {
-        return settings(idempotency, scope, DiscoveryMode.PUSHED, new Costs(0, 0));
-    }
-
-    static LoadBalancerSettings settings(
-            Idempotency idempotency, IdempotencyScope scope, DiscoveryMode discovery, Costs costs) {
-        RequestClass requestClass = new RequestClass(idempotency, scope, 5 * S, S, 0, 4 * S, 0, 1, 0, true);
-        return new LoadBalancerSettings(
-                0,
-                1,
-                0,
-                MS,
-                false,
-                discovery,
-                LoadReporting.NONE,
-                List.of(),
-                List.of(requestClass),
-                List.of(),
-                new Limits(4, 1000, true, true, false, false, 2 * S),
-                new EndpointLifecycle(S, 10 * S, 0.3, 9 * S, 2.5, S),
-                costs);
-    }
-
-    /** The settings of one router of so many. */
-    static LoadBalancerSettings instanceSettings(int count, int instanceIndex) {
-        return instanceSettings(idempotentSettings(), count, instanceIndex);
-    }
-
-    /** The same with these figures of the drain and cold-start rules. */
-    static LoadBalancerSettings instanceSettings(int count, int instanceIndex, EndpointLifecycle lifecycle) {
-        LoadBalancerSettings base = instanceSettings(count, instanceIndex);
-        return new LoadBalancerSettings(
-                instanceIndex,
-                count,
-                base.zone(),
-                base.tickNanos(),
-                base.streamResumption(),
-                base.discoveryMode(),
-                base.loadReporting(),
-                base.loadReportFields(),
-                base.requestClasses(),
-                base.tenants(),
-                base.limits(),
-                lifecycle,
-                base.costs(),
-                base.names(),
-                base.connectionTimeouts());
-    }
-
-    /** The same where the list has to be asked for. */
-    static LoadBalancerSettings watchingSettings(int count, int instanceIndex) {
-        return instanceSettings(
-                settings(Idempotency.IDEMPOTENT, IdempotencyScope.ALL, DiscoveryMode.WATCHED, new Costs(0, 0)),
-                count,
-                instanceIndex);
-    }
-
-    private static LoadBalancerSettings instanceSettings(LoadBalancerSettings base, int count, int instanceIndex) {
-        return new LoadBalancerSettings(
-                instanceIndex,
-                count,
-                base.zone(),
-                base.tickNanos(),
-                base.streamResumption(),
-                base.discoveryMode(),
-                base.loadReporting(),
-                base.loadReportFields(),
-                base.requestClasses(),
-                base.tenants(),
-                base.limits(),
-                base.endpointLifecycle(),
-                base.costs(),
-                base.names(),
-                base.connectionTimeouts());
+    /** A load balancer with idempotent requests and this many ready endpoints. */
+    static LoadBalancerHarness withEndpoints(int count) {
+        return new LoadBalancerHarness(idempotentSettings()).withReadyEndpoints(count);
+    }
+
+    /** A load balancer whose requests are of one class, and this many ready endpoints. */
+    static LoadBalancerHarness withEndpoints(int count, Idempotency idempotency, IdempotencyScope scope) {
+        TestSettings settings = new TestSettings().requestClasses(TestSettings.requestClass(idempotency, scope));
+        return new LoadBalancerHarness(settings.build()).withReadyEndpoints(count);
     }
 
     static LoadBalancerSettings idempotentSettings() {
-        return settings(Idempotency.IDEMPOTENT, IdempotencyScope.ALL);
+        return new TestSettings().build();
+    }
+
+    /** The settings of one of several instances. */
+    static LoadBalancerSettings instanceSettings(int instances, int instanceIndex) {
+        return new TestSettings().instance(instanceIndex, instances).build();
+    }
+
+    /** The settings of one of several instances, at a site where endpoints start and stop like this. */
+    static LoadBalancerSettings instanceSettings(int instances, int instanceIndex, EndpointLifecycle lifecycle) {
+        return new TestSettings()
+                .instance(instanceIndex, instances)
+                .endpointLifecycle(lifecycle)
+                .build();
+    }
+
+    /** The settings of one of several instances that have to watch discovery. */
+    static LoadBalancerSettings watchingSettings(int instances, int instanceIndex) {
+        return new TestSettings()
+                .instance(instanceIndex, instances)
+                .discoveryMode(DiscoveryMode.WATCHED)
+                .build();
     }
 
     static Endpoint endpoint(long id, EndpointPhase phase, long startedAt, int zone) {
@@ -134,7 +86,7 @@
                         .toArray(Endpoint[]::new));
     }
 
-    /** A request arrives; its id. */
+    /** Lets a request arrive, and returns its id. */
     long arrive(long prefix, long session) {
         return arrive(prefix, session, 0);
     }
@@ -146,18 +98,18 @@
         return id;
     }
 
-    void endAttempt(StartAttempt send, int attempt, AttemptOutcome outcome, boolean requestFinished) {
-        endAttempt(send, attempt, outcome, requestFinished, 100 * MS);
+    void endAttempt(StartAttempt started, int attempt, AttemptOutcome outcome, boolean requestFinished) {
+        endAttempt(started, attempt, outcome, requestFinished, 100 * MS);
     }
 
     void endAttempt(
-            StartAttempt send, int attempt, AttemptOutcome outcome, boolean requestFinished, long elapsedNanos) {
+            StartAttempt started, int attempt, AttemptOutcome outcome, boolean requestFinished, long elapsedNanos) {
         loadBalancer.onEvent(
                 now,
                 new AttemptEnded(
-                        send.requestId(),
+                        started.requestId(),
                         attempt,
-                        send.endpointId(),
+                        started.endpointId(),
                         outcome,
                         requestFinished,
                         elapsedNanos,
@@ -165,9 +117,11 @@
                         List.of()));
     }
 
-    void startResponse(StartAttempt send, int attempt, long elapsedNanos) {
+    void startResponse(StartAttempt started, int attempt, long elapsedNanos) {
         loadBalancer.onEvent(
-                now, new LoadBalancerEvent.ResponseStarted(send.requestId(), attempt, send.endpointId(), elapsedNanos));
+                now,
+                new LoadBalancerEvent.ResponseStarted(
+                        started.requestId(), attempt, started.endpointId(), elapsedNanos));
     }
 
     <T extends LoadBalancerAction> List<T> actionsOf(Class<T> kind) {
@@ -182,11 +136,11 @@
         return startedAttempts().get(startedAttempts().size() - 1);
     }
 
-    /** Where a lone request of this session goes. */
+    /** The endpoint that serves a request of this session while no other is in flight. */
     long primaryEndpoint(long session) {
         arrive(0, session);
-        StartAttempt send = lastAttempt();
-        endAttempt(send, 0, AttemptOutcome.SERVED, true);
-        return send.endpointId();
+        StartAttempt started = lastAttempt();
+        endAttempt(started, 0, AttemptOutcome.SERVED, true);
+        return started.endpointId();
     }
 }
--- a/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
+++ b/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
@@ -11,12 +11,9 @@
 import fawnlb.decision.LoadBalancerEvent;
 import fawnlb.decision.LoadBalancerEvent.RequestArrived;
 import fawnlb.decision.LoadBalancerEvent.TimerFired;
-import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.decision.LoadBalancerSettings.Costs;
 import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
-import fawnlb.decision.LoadBalancerSettings.EndpointLifecycle;
 import fawnlb.decision.LoadBalancerSettings.Limits;
-import fawnlb.decision.LoadBalancerSettings.LoadReporting;
 import fawnlb.decision.LoadBalancerSettings.RequestClass;
 import fawnlb.decision.LoadBalancerSettings.Tenant;
 import fawnlb.policy.SimulatedHost.Behavior;
@@ -35,39 +32,26 @@
 public class RecordedDecisionsTest {
     private static final long MS = SimulatedHost.MS;
     private static final long S = SimulatedHost.S;
-    private static final Limits LIMITS = new Limits(4, 1000, true, true, false, false, 2 * S);
-    private static final EndpointLifecycle RULES = new EndpointLifecycle(S, 10 * S, 0.3, 9 * S, 2.5, S);
-    private static final Costs NO_COSTS = new Costs(0, 0);
     private static final Costs CROSSING_COSTS = new Costs(0.08, 0.05);
     private static final RequestClass CHAT = requestClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL);
 
-    private static RequestClass requestClass(Idempotency effect, IdempotencyScope group) {
-        return new RequestClass(effect, group, 5 * S, S, 0, 4 * S, 0, 1, 0, true);
+    private static TestSettings settings(RequestClass... classes) {
+        return new TestSettings().instance(0, 2).requestClasses(classes);
     }
 
-    private static LoadBalancerSettings settings(
-            DiscoveryMode discovery, Costs costs, Limits limits, List<Tenant> tenants, RequestClass... classes) {
-        return new LoadBalancerSettings(
-                0,
-                2,
-                0,
-                MS,
-                false,
-                discovery,
-                LoadReporting.NONE,
-                List.of(),
-                List.of(classes),
-                tenants,
-                limits,
-                RULES,
-                costs);
+    private static RequestClass requestClass(Idempotency idempotency, IdempotencyScope scope) {
+        return TestSettings.requestClass(idempotency, scope);
     }
 
     private static SimulatedHost host(long seed, RequestClass... classes) {
-        return new SimulatedHost(settings(DiscoveryMode.PUSHED, NO_COSTS, LIMITS, List.of(), classes), seed);
+        return host(seed, settings(classes));
     }
 
-    /** Zones 0 to 2 and kinds 0 and 1 by turns, two servers a cell. */
+    private static SimulatedHost host(long seed, TestSettings settings) {
+        return new SimulatedHost(settings.build(), seed);
+    }
+
+    /** Zones 0 to 2 and kinds 0 and 1 by turns, two endpoints a cell. */
     private static Endpoint endpoint(long id, EndpointPhase phase, long startedAt) {
         return new Endpoint(id, phase, startedAt, 1, (int) (id % 3), (int) (id / 6), (int) (id % 2));
     }
@@ -136,10 +120,10 @@
     @Test
     public void restartsAndSlowStart() {
         SimulatedHost host = host(3, CHAT);
-        Endpoint[] cold = LongStream.rangeClosed(1, 4)
+        Endpoint[] inSlowStart = LongStream.rangeClosed(1, 4)
                 .mapToObj(id -> endpoint(id, EndpointPhase.READY, host.now() - id * S))
                 .toArray(Endpoint[]::new);
-        host.list(EndpointUpdateKind.CACHED, cold);
+        host.list(EndpointUpdateKind.CACHED, inSlowStart);
         host.play(6 * S, Traffic.steady(20));
         host.list(EndpointUpdateKind.FULL, ready(9));
         host.play(10 * S, Traffic.steady(30));
@@ -248,8 +232,8 @@
 
     @Test
     public void tenantsUnderOverload() {
-        List<Tenant> tenants = List.of(new Tenant(0.6, 10), new Tenant(0.1, 10), new Tenant(0, 10));
-        SimulatedHost host = new SimulatedHost(settings(DiscoveryMode.PUSHED, NO_COSTS, LIMITS, tenants, CHAT), 8);
+        Tenant[] tenants = {new Tenant(0.6, 10), new Tenant(0.1, 10), new Tenant(0, 10)};
+        SimulatedHost host = host(8, settings(CHAT).tenants(tenants));
         // Tenant 3 is one that the settings don't name.
         Traffic traffic = new Traffic(80, 40, 1000, 0, 1, 4, 0);
         host.list(EndpointUpdateKind.FULL, ready(6));
@@ -263,8 +247,7 @@
     public void clientsThatLeave() {
         for (boolean cancel : new boolean[] {true, false}) {
             Limits limits = new Limits(3, 1000, false, cancel, false, false, 0);
-            SimulatedHost host =
-                    new SimulatedHost(settings(DiscoveryMode.PUSHED, NO_COSTS, limits, List.of(), CHAT), 9);
+            SimulatedHost host = host(9, settings(CHAT).limits(limits));
             Traffic traffic = new Traffic(60, 20, 300, 0.2, 1, 1, 0.5);
             host.list(EndpointUpdateKind.FULL, ready(5));
             behave(host, 5, id -> true, Behavior.healthy(400 * MS, 4 * MS));
@@ -310,7 +293,7 @@
 
     @Test
     public void listsThatHaveToBeAskedFor() {
-        SimulatedHost host = new SimulatedHost(settings(DiscoveryMode.WATCHED, NO_COSTS, LIMITS, List.of(), CHAT), 11);
+        SimulatedHost host = host(11, settings(CHAT).discoveryMode(DiscoveryMode.WATCHED));
         host.listed = List.of(ready(6));
         host.discoveryAnswers.addAll(List.of(
                 EndpointUpdateKind.FAILED,
@@ -345,8 +328,7 @@
 
     @Test
     public void keysThatStayInTheirZone() {
-        SimulatedHost host =
-                new SimulatedHost(settings(DiscoveryMode.PUSHED, CROSSING_COSTS, LIMITS, List.of(), CHAT), 13);
+        SimulatedHost host = host(13, settings(CHAT).costs(CROSSING_COSTS));
         host.list(EndpointUpdateKind.FULL, ready(12));
         host.play(10 * S, Traffic.steady(60));
         behave(host, 12, id -> id % 3 == 0, Behavior.failing(AttemptOutcome.CONNECT_FAILED, 0.6));
@@ -427,16 +409,13 @@
 
     @Test
     public void randomFaultsAndListChanges() {
-        SimulatedHost host = new SimulatedHost(
-                settings(
-                        DiscoveryMode.WATCHED,
-                        CROSSING_COSTS,
-                        LIMITS,
-                        List.of(new Tenant(0.5, 10), new Tenant(0.5, 10)),
-                        CHAT,
-                        requestClass(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ZONE),
-                        requestClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL)),
-                17);
+        RequestClass keyed = requestClass(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ZONE);
+        RequestClass once = requestClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL);
+        TestSettings settings = settings(CHAT, keyed, once)
+                .discoveryMode(DiscoveryMode.WATCHED)
+                .costs(CROSSING_COSTS)
+                .tenants(new Tenant(0.5, 10), new Tenant(0.5, 10));
+        SimulatedHost host = host(17, settings);
         host.listed = List.of(ready(24));
         host.list(EndpointUpdateKind.FULL, ready(24));
         SplittableRandom random = new SplittableRandom(170);
--- a/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
+++ b/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
@@ -19,18 +19,14 @@
 import fawnlb.decision.LoadBalancerEvent;
 import fawnlb.decision.LoadBalancerEvent.RequestArrived;
 import fawnlb.decision.LoadBalancerEvent.TimerFired;
-import fawnlb.decision.LoadBalancerSettings;
-import fawnlb.decision.LoadBalancerSettings.Costs;
-import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
 class RequestLifecycleTest {
-    /** Ends the only attempt of a new request so, and gives the module. */
+    /** A load balancer after the only attempt of its first request has ended like this. */
     private static LoadBalancerHarness after(Idempotency effect, IdempotencyScope group, AttemptOutcome outcome) {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.settings(effect, group)).withReadyEndpoints(6);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(6, effect, group);
         harness.arrive(0, 9);
         harness.endAttempt(harness.lastAttempt(), 0, outcome, false);
         return harness;
@@ -38,10 +34,10 @@
 
     @Test
     void idempotentRequestsAreRetriedOnAnotherEndpoint() {
-        List<StartAttempt> sends = after(Idempotency.IDEMPOTENT, IdempotencyScope.ALL, AttemptOutcome.ERROR)
+        List<StartAttempt> attempts = after(Idempotency.IDEMPOTENT, IdempotencyScope.ALL, AttemptOutcome.ERROR)
                 .startedAttempts();
-        assertEquals(2, sends.size());
-        assertNotEquals(sends.get(0).endpointId(), sends.get(1).endpointId());
+        assertEquals(2, attempts.size());
+        assertNotEquals(attempts.get(0).endpointId(), attempts.get(1).endpointId());
     }
 
     @Test
@@ -75,9 +71,8 @@
 
     @Test
     void requestsWithIdempotencyKeysAreNotRetriedAfterTheirWindow() {
-        LoadBalancerHarness harness = new LoadBalancerHarness(
-                        LoadBalancerHarness.settings(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ALL))
-                .withReadyEndpoints(6);
+        LoadBalancerHarness harness =
+                LoadBalancerHarness.withEndpoints(6, Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ALL);
         harness.arrive(0, 9);
         harness.now += 5 * S;
         harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.ERROR, false);
@@ -87,8 +82,7 @@
 
     @Test
     void unknownRequestClassesAreNotIdempotent() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(3);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(3);
         harness.loadBalancer.onEvent(
                 harness.now, new RequestArrived(1, 9, 0, 1, 0, S, 0, 1, 0, 1, false, false, false));
         harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.ERROR, false);
@@ -98,8 +92,7 @@
 
     @Test
     void requestIsRejectedOnceOnTimeout() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(6);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(6);
         harness.arrive(0, 9);
         harness.now += 4 * S;
         harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.TIMEOUT, false);
@@ -116,8 +109,7 @@
     }
 
     private static LoadBalancerHarness endOver() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(6);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(6);
         harness.arrive(0, 9);
         harness.startResponse(harness.lastAttempt(), 0, 1000);
         harness.now += 20 * S;
@@ -156,8 +148,7 @@
     void malformedNumbersLoseNoRequest() {
         for (double odd : new double[] {Double.NaN, Double.POSITIVE_INFINITY, -5, 0}) {
             for (long expires : new long[] {0, -1, Long.MAX_VALUE}) {
-                LoadBalancerHarness harness =
-                        new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(2);
+                LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(2);
                 harness.loadBalancer.onEvent(
                         harness.now, new RequestArrived(1, 0, 99, 0, 0, expires, -3, odd, odd, odd, true, true, true));
                 assertEquals(
@@ -170,8 +161,7 @@
 
     @Test
     void eventsOfUnknownRequestsAreIgnored() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(2);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(2);
         StartAttempt stranger = new StartAttempt(55, 1, 0);
         harness.endAttempt(stranger, 0, AttemptOutcome.SERVED, true);
         harness.startResponse(stranger, 3, 1);
@@ -185,8 +175,7 @@
 
     @Test
     void retriesStayWithinTheBudget() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(30);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(30);
         int tries = 200;
         for (int i = 0; i < tries; i++) {
             long id = harness.arrive(0, 1000 + i);
@@ -204,8 +193,7 @@
 
     @Test
     void lostWatchIsReopenedOnceAtATime() {
-        LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.settings(
-                        Idempotency.IDEMPOTENT, IdempotencyScope.ALL, DiscoveryMode.WATCHED, new Costs(0, 0)))
+        LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.watchingSettings(1, 0))
                 .updateEndpoints(EndpointUpdateKind.CACHED, endpoint(1, EndpointPhase.READY, 0, 0));
         fireLastTimer(harness);
         harness.loadBalancer.onEvent(harness.now, new TimerFired(0));
@@ -220,8 +208,7 @@
 
     @Test
     void unansweredWatchCallIsRepeated() {
-        LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.settings(
-                        Idempotency.IDEMPOTENT, IdempotencyScope.ALL, DiscoveryMode.WATCHED, new Costs(0, 0)))
+        LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.watchingSettings(1, 0))
                 .updateEndpoints(EndpointUpdateKind.CACHED, endpoint(1, EndpointPhase.READY, 0, 0));
         fireLastTimer(harness);
         fireLastTimer(harness);
@@ -237,25 +224,9 @@
 
     @Test
     void clientDisconnectCancelsItsAttemptOnlyWhereAllowed() {
-        LoadBalancerSettings base = LoadBalancerHarness.idempotentSettings();
         for (boolean allowed : new boolean[] {true, false}) {
-            LoadBalancerSettings.Limits limits =
-                    new LoadBalancerSettings.Limits(4, 1000, false, allowed, false, false, 0);
-            LoadBalancerHarness harness = new LoadBalancerHarness(new LoadBalancerSettings(
-                            0,
-                            1,
-                            0,
-                            LoadBalancerHarness.MS,
-                            false,
-                            base.discoveryMode(),
-                            base.loadReporting(),
-                            List.of(),
-                            base.requestClasses(),
-                            List.of(),
-                            limits,
-                            base.endpointLifecycle(),
-                            base.costs()))
-                    .withReadyEndpoints(4);
+            TestSettings settings = new TestSettings().limits(TestSettings.limits(4, allowed));
+            LoadBalancerHarness harness = new LoadBalancerHarness(settings.build()).withReadyEndpoints(4);
             long id = harness.arrive(0, 5);
             harness.loadBalancer.onEvent(harness.now, new LoadBalancerEvent.ClientDisconnected(id));
             assertEquals(
@@ -268,8 +239,7 @@
 
     @Test
     void restartUnderTheSameIdBeginsSlowStart() {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(3);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(3);
         long home = harness.primaryEndpoint(4);
         harness.updateEndpoints(
                 EndpointUpdateKind.DELTA, endpoint(home, EndpointPhase.READY, harness.now, (int) (home % 3)));
@@ -280,40 +250,52 @@
 
     @Test
     void randomEventOrdersKeepOneAttemptAndOneFinalAnswer() {
-        AttemptOutcome[] outcomes = AttemptOutcome.values();
-        for (long seed = 0; seed < 30; seed++) {
+        for (int seed = 0; seed < 30; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            LoadBalancerHarness harness = new LoadBalancerHarness(LoadBalancerHarness.settings(
-                            Idempotency.values()[(int) (seed % 3)], IdempotencyScope.values()[(int) (seed / 3 % 3)]))
-                    .withReadyEndpoints(8);
+            LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(
+                    8, Idempotency.values()[seed % 3], IdempotencyScope.values()[seed / 3 % 3]);
             for (int i = 0; i < 200; i++) {
                 harness.now += random.nextInt(50) * LoadBalancerHarness.MS;
                 if (random.nextInt(5) == 0) {
-                    EndpointPhase phase = EndpointPhase.values()[random.nextInt(3)];
-                    harness.updateEndpoints(
-                            EndpointUpdateKind.DELTA,
-                            endpoint(1 + random.nextInt(8), phase, harness.now, random.nextInt(3)));
-                    harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(20, EndpointPhase.READY, 0, 0));
+                    updateRandomEndpoint(harness, random);
                 }
                 long id = harness.arrive(random.nextInt(4), random.nextInt(9));
                 long end = harness.now + 4 * S;
-                while (attempts(harness, id) == 0 && finalAnswers(harness, id) == 0 && harness.now < end) {
-                    harness.now += 5 * LoadBalancerHarness.MS;
-                    harness.loadBalancer.onEvent(harness.now, new TimerFired(1));
-                }
-                boolean served = false;
-                for (int attempt = 0; attempt < attempts(harness, id); attempt++) {
-                    assertEquals(attempt + 1, attempts(harness, id));
-                    AttemptOutcome outcome = outcomes[random.nextInt(outcomes.length)];
-                    served |= outcome == AttemptOutcome.SERVED;
-                    harness.endAttempt(harness.lastAttempt(), attempt, outcome, served);
-                }
+                awaitAttemptOrAnswer(harness, id, end);
+                boolean served = endAttempts(harness, id, random);
                 assertEquals(1, finalAnswers(harness, id) + (served ? 1 : 0), "seed " + seed + " request " + id);
                 assertTrue(harness.now < end);
             }
         }
     }
 
+    private static void updateRandomEndpoint(LoadBalancerHarness harness, SplittableRandom random) {
+        EndpointPhase phase = EndpointPhase.values()[random.nextInt(3)];
+        harness.updateEndpoints(
+                EndpointUpdateKind.DELTA, endpoint(1 + random.nextInt(8), phase, harness.now, random.nextInt(3)));
+        harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(20, EndpointPhase.READY, 0, 0));
+    }
+
+    private static void awaitAttemptOrAnswer(LoadBalancerHarness harness, long id, long end) {
+        while (attempts(harness, id) == 0 && finalAnswers(harness, id) == 0 && harness.now < end) {
+            harness.now += 5 * LoadBalancerHarness.MS;
+            harness.loadBalancer.onEvent(harness.now, new TimerFired(1));
+        }
+    }
+
+    /** Ends each attempt of a request at random, and says whether one of them was served. */
+    private static boolean endAttempts(LoadBalancerHarness harness, long id, SplittableRandom random) {
+        AttemptOutcome[] outcomes = AttemptOutcome.values();
+        boolean served = false;
+        for (int attempt = 0; attempt < attempts(harness, id); attempt++) {
+            assertEquals(attempt + 1, attempts(harness, id));
+            AttemptOutcome outcome = outcomes[random.nextInt(outcomes.length)];
+            served |= outcome == AttemptOutcome.SERVED;
+            harness.endAttempt(harness.lastAttempt(), attempt, outcome, served);
+        }
+        return served;
+    }
+
     private static long finalAnswers(LoadBalancerHarness harness, long id) {
         return harness.actions.stream()
                 .filter(a -> a instanceof RejectRequest r && r.requestId() == id
@@ -323,7 +305,7 @@
 
     private static int attempts(LoadBalancerHarness harness, long id) {
         return (int) harness.startedAttempts().stream()
-                .filter(send -> send.requestId() == id)
+                .filter(started -> started.requestId() == id)
                 .count();
     }
 
--- a/node/src/test/java/fawnlb/policy/StateRetentionTest.java
+++ b/node/src/test/java/fawnlb/policy/StateRetentionTest.java
@@ -36,8 +36,7 @@
 
     @Test
     public void departedEndpointsAndFinishedRequestsAreForgotten() throws Exception {
-        LoadBalancerHarness harness =
-                new LoadBalancerHarness(LoadBalancerHarness.idempotentSettings()).withReadyEndpoints(LIVE_ENDPOINTS);
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(LIVE_ENDPOINTS);
         AttemptOutcome[] ends = {
             AttemptOutcome.SERVED,
             AttemptOutcome.RESET,
