--- a/node/src/test/java/fawnlb/CapturedLog.java
+++ b/node/src/test/java/fawnlb/CapturedLog.java
@@ -6,16 +6,17 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Captures the messages that are logged under a logger's name, from its creation until it is closed. */
+/** Captures the messages of a logger and of those below it, from its creation until it is closed. */
 public final class CapturedLog extends Handler implements AutoCloseable {
     private final Logger logger;
     private final List<String> lines = new CopyOnWriteArrayList<>();
 
-    public CapturedLog(String name) {
-        logger = Logger.getLogger(name);
+    public CapturedLog(String loggerName) {
+        logger = Logger.getLogger(loggerName);
         logger.addHandler(this);
     }
 
+    /** Returns the messages so far. */
     public List<String> lines() {
         return lines;
     }
--- /dev/null
+++ b/node/src/test/java/fawnlb/server/DiscoveryUpdateTest.java
@@ -0,0 +1,122 @@
+package fawnlb.server;
+
+import static fawnlb.server.Await.waitUntil;
+import static fawnlb.server.EndpointLists.completeList;
+import static fawnlb.server.EndpointLists.inPhase;
+import static fawnlb.server.EndpointLists.ready;
+import static fawnlb.server.EndpointLists.update;
+import static fawnlb.server.FakeHttpServer.awaitClose;
+import static fawnlb.server.FakeHttpServer.write;
+import static fawnlb.server.Requests.chat;
+import static fawnlb.server.Requests.sessionKey;
+import static fawnlb.server.Responses.COMPLETE_STREAM;
+import static fawnlb.server.Responses.openStream;
+import static fawnlb.server.Responses.status;
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertTrue;
+
+import fawnlb.CapturedLog;
+import java.time.Duration;
+import java.util.concurrent.atomic.AtomicBoolean;
+import org.junit.Test;
+
+/** How the server follows discovery while it runs. */
+public class DiscoveryUpdateTest {
+    @Test
+    public void drainingBackendGetsNoNewRequests() throws Exception {
+        try (FakeHttpServer draining = FakeHttpServer.responding(COMPLETE_STREAM);
+                FakeHttpServer ready = FakeHttpServer.responding(COMPLETE_STREAM);
+                FakeHttpServer discovery = FakeHttpServer.holdingOpenAfter(
+                        openStream(update(2, inPhase("draining", 1, draining), ready(2, ready))));
+                ServerHarness harness = ServerHarness.withConfig(
+                        ServerConfigJson.watching(discovery).endpoints(ready(1, draining)))) {
+            waitUntil("update received", () -> {
+                harness.exchange(chat("id", 3000));
+                return !ready.requests.isEmpty();
+            });
+            int requestsBefore = draining.requests.size();
+
+            for (int i = 0; i < 10; i++) {
+                harness.exchange(chat("id-" + i, 3000, sessionKey(i)));
+            }
+
+            assertEquals(requestsBefore, draining.requests.size());
+            assertTrue(discovery.requestLine(0).contains("watch=1&from=1"));
+        }
+    }
+
+    /** The agent that is given the list still has to be watched, since the pushed list is only the first one. */
+    @Test
+    public void pushedEndpointListIsFollowed() throws Exception {
+        try (FakeHttpServer before = FakeHttpServer.responding(COMPLETE_STREAM);
+                FakeHttpServer after = FakeHttpServer.responding(COMPLETE_STREAM);
+                FakeHttpServer agent = FakeHttpServer.holdingOpenAfter(openStream(completeList(2, ready(2, after))));
+                ServerHarness harness = ServerHarness.withConfig(
+                        ServerConfigJson.pushedList(agent).endpoints(ready(1, before)))) {
+            waitUntil("moved to the listed backend", () -> {
+                String response = harness.exchange(chat("id", 3000));
+                assertEquals(response, response.startsWith("HTTP/1.1 503"), response.contains("Retry-After: 1\r\n"));
+                return response.startsWith("HTTP/1.1 200") && !after.requests.isEmpty();
+            });
+
+            assertTrue(agent.requestLine(0), agent.requestLine(0).contains("watch=1"));
+        }
+    }
+
+    /** One line for each failed call would be hundreds a second, and hide all others. */
+    @Test
+    public void repeatedDiscoveryFailureIsLoggedOnce() throws Exception {
+        try (CapturedLog log = new CapturedLog("fawnlb.discovery");
+                FakeHttpServer discovery = FakeHttpServer.responding(status(503));
+                ServerHarness harness = ServerHarness.withConfig(ServerConfigJson.watching(discovery))) {
+            waitUntil("many calls", () -> discovery.requests.size() >= 12);
+
+            assertEquals(0, harness.server.openRequests());
+            long lines = log.lines().stream()
+                    .filter(line -> line.contains("status 503"))
+                    .count();
+            assertEquals(log.lines().toString(), 1, lines);
+        }
+    }
+
+    /** A watch from a revision that a restarted discovery has not reached yet would be rejected for ever. */
+    @Test
+    public void revisionResetTriggersFullEndpointList() throws Exception {
+        try (FakeHttpServer discovery = new FakeHttpServer((request, connection) -> {
+                    String line = request.requestLine();
+                    boolean beforeRestart = line.contains("from=0") || line.contains("from=1");
+                    write(connection, openStream(beforeRestart ? completeList(40) : update(3)));
+                    connection.close();
+                });
+                ServerHarness harness = ServerHarness.withConfig(ServerConfigJson.watching(discovery))) {
+            waitUntil("three watches", () -> discovery.requests.size() >= 3);
+
+            assertEquals(0, harness.server.openRequests());
+            assertTrue(discovery.requestLine(1), discovery.requestLine(1).contains("from=40"));
+            assertTrue(discovery.requestLine(2), discovery.requestLine(2).contains("from=0"));
+        }
+    }
+
+    /** A watch that says nothing may be one whose discovery server has gone. */
+    @Test
+    public void silentOrClosedWatchIsReopenedFromLastRevision() throws Exception {
+        AtomicBoolean firstWatchClosed = new AtomicBoolean();
+        try (FakeHttpServer discovery = new FakeHttpServer((request, connection) -> {
+                    write(connection, openStream(completeList(7)));
+                    if (firstWatchClosed.getAndSet(true)) {
+                        awaitClose(connection);
+                    } else {
+                        connection.close();
+                    }
+                });
+                ServerHarness harness = ServerHarness.withConfig(ServerConfigJson.watching(discovery))) {
+            waitUntil("reopened after its end", () -> discovery.requests.size() >= 2);
+            Stopwatch stopwatch = new Stopwatch();
+            waitUntil("reopened after silence", () -> discovery.requests.size() >= 3);
+
+            stopwatch.assertBelow(Duration.ofMillis(5500));
+            assertEquals(0, harness.server.openRequests());
+            assertTrue(discovery.requestLine(2), discovery.requestLine(2).contains("from=7"));
+        }
+    }
+}
--- a/node/src/test/java/fawnlb/server/LogWriterTest.java
+++ b/node/src/test/java/fawnlb/server/LogWriterTest.java
@@ -48,7 +48,7 @@
         log.awaitWritten(20);
         assertEquals(List.of(), handler.lines);
         handler.released.countDown();
-        ServerHarness.waitUntil("all written", () -> handler.lines.size() == LogWriter.QUEUE_CAPACITY + 2);
+        Await.waitUntil("all written", () -> handler.lines.size() == LogWriter.QUEUE_CAPACITY + 2);
         assertEquals("first", handler.lines.get(0));
         assertTrue(
                 handler.lines.toString(),
--- a/node/src/test/java/fawnlb/server/PackagedServerIT.java
+++ b/node/src/test/java/fawnlb/server/PackagedServerIT.java
@@ -1,182 +1,173 @@
 package fawnlb.server;
 
-import static fawnlb.server.FakeHttpServer.CHUNKED_ENCODING;
-import static fawnlb.server.FakeHttpServer.chunk;
-import static fawnlb.server.FakeHttpServer.responseHead;
+import static fawnlb.server.Await.waitUntil;
+import static fawnlb.server.EndpointLists.completeList;
+import static fawnlb.server.EndpointLists.ready;
 import static fawnlb.server.FakeHttpServer.write;
+import static fawnlb.server.Requests.CLOSE_CONNECTION;
+import static fawnlb.server.Requests.chat;
+import static fawnlb.server.Requests.chatKeepingConnection;
+import static fawnlb.server.Requests.post;
+import static fawnlb.server.Responses.DONE_EVENT;
+import static fawnlb.server.Responses.LAST_CHUNK;
+import static fawnlb.server.Responses.chunk;
+import static fawnlb.server.Responses.openStream;
+import static fawnlb.server.Responses.stream;
 import static fawnlb.server.ServerProcess.connect;
-import static fawnlb.server.ServerProcess.sendSignal;
-import static fawnlb.server.ServerProcess.start;
-import static org.junit.Assert.assertEquals;
+import static fawnlb.server.ServerProcess.outputOf;
 import static org.junit.Assert.assertTrue;
 
-import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStreamReader;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** The jar as it is built, started as the deploy file starts it. */
+/** The packaged program with its commands and signals, started with the command line of the deploy file. */
 public class PackagedServerIT {
-    private static String outputOf(Process process, int code) throws Exception {
-        String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-        assertEquals(text, code, process.exitValue());
-        return text;
-    }
+    private static final int SUCCESS = 0;
+    private static final int USAGE_ERROR = 2;
 
     @Test
-    public void commandsPrintResultOrOneLineError() throws Exception {
-        assertTrue(outputOf(start("version"), 0).startsWith("fawnlb 0."));
-        assertTrue(outputOf(start("check", "--config", "examples/node.json", "--broker", "examples/messages.json"), 0)
+    public void commandsPrintTheirResult() throws Exception {
+        assertTrue(outputOf(SUCCESS, "version").startsWith("fawnlb 0."));
+        assertTrue(outputOf(SUCCESS, "rehearse").contains("served one request"));
+        assertTrue(outputOf(SUCCESS, "check", "--config", "examples/node.json", "--broker", "examples/messages.json")
                 .contains("1 team(s)"));
-        assertTrue(outputOf(start("rehearse"), 0).contains("served one request"));
-        assertTrue(outputOf(start("check", "--config", "examples/node.json", "--start", "deploy/start.json"), 0)
+        assertTrue(outputOf(SUCCESS, "check", "--config", "examples/node.json", "--start", "deploy/start.json")
                 .contains("/var/lib/fawnlb/targets.snapshot"));
-        for (String[] arguments : new String[][] {{"show", "pom.xml"}, {"show", "nowhere"}, {"print", "pom.xml"}, {}}) {
-            String text = outputOf(start("snapshot", arguments), 2);
-            assertTrue(text, text.startsWith("fawnlb: ") && text.lines().count() == 1);
+    }
+
+    @Test
+    public void invalidArgumentsOfSnapshotPrintOneLine() throws Exception {
+        List<String[]> invalidArguments = List.of(
+                new String[] {"show", "pom.xml"},
+                new String[] {"show", "nowhere"},
+                new String[] {"print", "pom.xml"},
+                new String[] {});
+        for (String[] arguments : invalidArguments) {
+            assertOneLineError("snapshot", arguments);
         }
-        for (String[] arguments : new String[][] {
-            {"--config", "examples/node.json", "--start", "examples/node.json"},
-            {"--config", "nowhere.json"},
-            {"--config", "pom.xml"},
-            {"--config", "examples/node.json", "--broker", "examples/node.json"},
-            {"--odd"}
-        }) {
-            String text = outputOf(start("serve", arguments), 2);
-            assertTrue(text, text.startsWith("fawnlb: ") && text.lines().count() == 1);
+    }
+
+    @Test
+    public void invalidArgumentsOfServePrintOneLine() throws Exception {
+        List<String[]> invalidArguments = List.of(
+                new String[] {"--config", "examples/node.json", "--start", "examples/node.json"},
+                new String[] {"--config", "nowhere.json"},
+                new String[] {"--config", "pom.xml"},
+                new String[] {"--config", "examples/node.json", "--broker", "examples/node.json"},
+                new String[] {"--odd"});
+        for (String[] arguments : invalidArguments) {
+            assertOneLineError("serve", arguments);
         }
     }
 
-    private static String readToEnd(Socket socket) throws IOException {
-        return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    private static void assertOneLineError(String command, String... arguments) throws Exception {
+        String output = outputOf(USAGE_ERROR, command, arguments);
+        assertTrue(output, output.startsWith("fawnlb: ") && output.lines().count() == 1);
     }
 
     @Test
     public void brokerListenerTranslatesMessagesRequestToChatBackend() throws Exception {
-        try (FakeHttpServer backend = new FakeHttpServer((request, socket) -> write(
-                socket,
-                responseHead(200, CHUNKED_ENCODING)
-                        + chunk("data: {\"choices\":[{\"delta\":{\"content\":\"Hi\"}}]}\n\ndata: [DONE]\n\n")
-                        + "0\r\n\r\n"))) {
-            Path config = ServerHarness.temporaryFile(ServerHarness.configJson(
-                    "automatic", "127.0.0.1:1", ServerHarness.endpointJson(1, backend.address(), "c", "ready")));
-            Path broker = ServerHarness.temporaryFile(Files.readString(Path.of("../examples/messages.json"))
-                    .replace(":9100", ":0")
-                    .replace("advisor-chat", "chat"));
-            Process server = start("serve", "--config", config.toString(), "--broker", broker.toString());
-            try (BufferedReader log = new BufferedReader(new InputStreamReader(server.getInputStream()));
-                    Socket client = connect(log, "messages_address")) {
-                write(
-                        client,
-                        ServerHarness.postRequest(
-                                "/v1/messages",
-                                "{\"model\":\"advisor\",\"max_tokens\":5,\"stream\":true,"
-                                        + "\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}",
-                                "x-api-key: example-key\r\n",
-                                "Connection: close\r\n"));
-                String answer = readToEnd(client);
-                assertTrue(answer, answer.contains("\"text\":\"Hi\"") && answer.contains("event: message_stop"));
-            } finally {
-                server.destroyForcibly();
+        String event = "data: {\"choices\":[{\"delta\":{\"content\":\"Hi\"}}]}\n\n";
+        String request = post(
+                "/v1/messages",
+                "{\"model\":\"advisor\",\"max_tokens\":5,\"stream\":true,"
+                        + "\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}",
+                "x-api-key: example-key\r\n",
+                CLOSE_CONNECTION);
+        Path broker = ServerConfigJson.temporaryFile(Files.readString(Path.of("../examples/messages.json"))
+                .replace(":9100", ":0")
+                .replace("advisor-chat", "chat"));
+        try (FakeHttpServer backend = FakeHttpServer.responding(stream(event + DONE_EVENT))) {
+            Path config =
+                    ServerConfigJson.fixedList().endpoints(ready(1, backend)).file();
+            try (ServerProcess server =
+                    ServerProcess.start("serve", "--config", config.toString(), "--broker", broker.toString())) {
+                String response = ServerProcess.exchange(server.awaitPort("messages_address"), request);
+
+                assertTrue(response, response.contains("\"text\":\"Hi\"") && response.contains("event: message_stop"));
             }
         }
     }
 
-    /** A discovery that lists the one backend, and keeps its watch open. */
-    private static FakeHttpServer discovery(int revision, FakeHttpServer backend) throws IOException {
-        return new FakeHttpServer((request, socket) -> {
-            write(
-                    socket,
-                    responseHead(200, CHUNKED_ENCODING)
-                            + chunk("{\"revision\":" + revision + ",\"complete\":true,\"members\":["
-                                    + ServerHarness.endpointJson(revision, backend.address(), "c", "ready") + "]}\n"));
-            socket.getInputStream().read();
-        });
+    /** Returns a discovery server that lists one backend and keeps its watch open. */
+    private static FakeHttpServer discoveryListing(int revision, FakeHttpServer backend) throws IOException {
+        return FakeHttpServer.holdingOpenAfter(openStream(completeList(revision, ready(revision, backend))));
+    }
+
+    private static boolean isServedBy(FakeHttpServer backend, int port) throws IOException {
+        int requestsBefore = backend.requests.size();
+        return ServerProcess.exchange(port, chat("id", 500)).startsWith("HTTP/1.1 200")
+                && backend.requests.size() > requestsBefore;
     }
 
-    /** SIGHUP ends a Java program that does not handle it; here it moves the list, or changes nothing. */
     @Test
     public void sighupReloadsDiscoveryAndRejectsInvalidConfig() throws Exception {
-        FakeHttpServer.ResponseScript stream = (request, socket) ->
-                write(socket, responseHead(200, CHUNKED_ENCODING) + chunk("data: a\n\n") + "0\r\n\r\n");
-        try (FakeHttpServer before = new FakeHttpServer(stream);
-                FakeHttpServer after = new FakeHttpServer(stream);
-                FakeHttpServer first = discovery(2, before);
-                FakeHttpServer second = discovery(1, after)) {
-            Path config = ServerHarness.temporaryFile(ServerHarness.configJson("subscribe", first.address(), ""));
-            Process server = start("serve", "--config", config.toString());
-            try (BufferedReader log = new BufferedReader(new InputStreamReader(server.getInputStream()));
-                    Socket any = connect(log, "platform_address")) {
-                ServerHarness.waitUntil("listed", () -> served(any.getPort(), before));
+        String response = stream("data: a\n\n");
+        try (FakeHttpServer before = FakeHttpServer.responding(response);
+                FakeHttpServer after = FakeHttpServer.responding(response);
+                FakeHttpServer first = discoveryListing(2, before);
+                FakeHttpServer second = discoveryListing(1, after)) {
+            Path config = ServerConfigJson.watching(first).file();
+            try (ServerProcess server = ServerProcess.serve(config)) {
+                int port = server.awaitPort();
+                waitUntil("served from the first list", () -> isServedBy(before, port));
+
                 Files.writeString(config, "{\"name\": ");
-                sendSignal(server, "HUP");
-                String line = log.readLine();
-                while (!line.contains("not reloaded")) {
-                    line = log.readLine();
-                }
-                assertTrue(served(any.getPort(), before));
-                Files.writeString(config, ServerHarness.configJson("subscribe", second.address(), ""));
-                sendSignal(server, "HUP");
-                ServerHarness.waitUntil("moved", () -> served(any.getPort(), after));
-                assertTrue(second.requests.get(0).requestLine().contains("watch=1"));
+                server.signal("HUP");
+                server.readLogUntil("not reloaded");
+                assertTrue(isServedBy(before, port));
+
+                Files.writeString(config, ServerConfigJson.watching(second).json());
+                server.signal("HUP");
+                waitUntil("served from the second list", () -> isServedBy(after, port));
+                assertTrue(second.requestLine(0).contains("watch=1"));
                 assertTrue(server.isAlive());
-            } finally {
-                server.destroyForcibly();
             }
         }
     }
 
-    private static boolean served(int port, FakeHttpServer by) {
-        int already = by.requests.size();
-        try (Socket socket = connect(port)) {
-            write(socket, ServerHarness.chatRequest("id", 500));
-            return readToEnd(socket).startsWith("HTTP/1.1 200") && by.requests.size() > already;
-        } catch (IOException e) {
-            return false;
-        }
-    }
-
-    /** What a node has taken before SIGTERM is answered whole, and the process then ends by itself. */
+    /**
+     * Connections that arrive shortly after the signal are served too, and a reload in the midst of it changes nothing.
+     */
     @Test
     public void sigtermCompletesInFlightRequests() throws Exception {
-        CountDownLatch ending = new CountDownLatch(1);
-        CountDownLatch begun = new CountDownLatch(1);
-        try (FakeHttpServer backend = new FakeHttpServer((request, socket) -> {
-            write(socket, responseHead(200, CHUNKED_ENCODING) + chunk("data: a\n\n"));
-            begun.countDown();
-            ending.await(10, TimeUnit.SECONDS);
-            write(socket, chunk("data: [DONE]\n\n") + "0\r\n\r\n");
+        CountDownLatch responseBegun = new CountDownLatch(1);
+        CountDownLatch completeResponse = new CountDownLatch(1);
+        try (FakeHttpServer backend = new FakeHttpServer((request, connection) -> {
+            write(connection, openStream("data: a\n\n"));
+            responseBegun.countDown();
+            completeResponse.await(10, TimeUnit.SECONDS);
+            write(connection, chunk(DONE_EVENT) + LAST_CHUNK);
         })) {
-            Path config = ServerHarness.temporaryFile(ServerHarness.configJson(
-                    "automatic", "127.0.0.1:1", ServerHarness.endpointJson(1, backend.address(), "c", "ready")));
-            Process server = start("serve", "--config", config.toString());
-            try (BufferedReader log = new BufferedReader(new InputStreamReader(server.getInputStream()));
-                    Socket client = connect(log, "platform_address")) {
-                write(client, ServerHarness.chatRequest("id", 3000).replace("Connection: close\r\n", ""));
-                assertTrue(begun.await(5, TimeUnit.SECONDS));
-                server.destroy();
-                // A new configuration may come in the middle of a planned end.
-                sendSignal(server, "HUP");
-                // New connections keep coming for a moment, and are served.
+            Path config =
+                    ServerConfigJson.fixedList().endpoints(ready(1, backend)).file();
+            try (ServerProcess server = ServerProcess.serve(config);
+                    Socket client = connect(server.awaitPort())) {
+                write(client, chatKeepingConnection("id", 3000));
+                assertTrue(responseBegun.await(5, TimeUnit.SECONDS));
+
+                server.signal("TERM");
+                server.signal("HUP");
+
                 try (Socket late = connect(client.getPort())) {
-                    write(late, ServerHarness.chatRequest("late", 3000));
-                    ending.countDown();
-                    for (Socket socket : new Socket[] {client, late}) {
-                        String answer = readToEnd(socket);
-                        assertTrue(answer, answer.contains("data: [DONE]") && answer.endsWith("0\r\n\r\n"));
-                    }
+                    write(late, chat("late", 3000));
+                    completeResponse.countDown();
+                    assertCompleted(client);
+                    assertCompleted(late);
                 }
-                assertTrue("ends by itself", server.waitFor(5, TimeUnit.SECONDS));
-            } finally {
-                server.destroyForcibly();
+                server.awaitExit(5);
             }
         }
     }
+
+    private static void assertCompleted(Socket client) throws IOException {
+        String response = ServerHarness.readToEnd(client);
+        assertTrue(response, response.contains(DONE_EVENT.trim()) && response.endsWith(LAST_CHUNK));
+    }
 }
--- a/node/src/test/java/fawnlb/server/ReadinessTest.java
+++ b/node/src/test/java/fawnlb/server/ReadinessTest.java
@@ -1,59 +1,52 @@
 package fawnlb.server;
 
-import static fawnlb.server.FakeHttpServer.CHUNKED_ENCODING;
-import static fawnlb.server.FakeHttpServer.NO_BODY;
-import static fawnlb.server.FakeHttpServer.chunk;
-import static fawnlb.server.FakeHttpServer.responseHead;
+import static fawnlb.server.Await.waitUntil;
+import static fawnlb.server.EndpointLists.completeList;
+import static fawnlb.server.FakeHttpServer.awaitClose;
 import static fawnlb.server.FakeHttpServer.write;
-import static org.junit.Assert.assertTrue;
+import static fawnlb.server.Responses.chunk;
+import static fawnlb.server.Responses.openStream;
+import static fawnlb.server.Responses.status;
 
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.channels.SocketChannel;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** A node that was started anew is ready within 10 s, in whatever state discovery is. */
+/** A server is ready within 10 seconds of its start, whatever discovery does. */
 public class ReadinessTest {
-    private static final long READY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
-    private static final String READINESS_REQUEST =
-            "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    private static final String EMPTY_ENDPOINT_LIST = "{\"revision\":2,\"complete\":true,\"members\":[]}\n";
+    private static final Duration READY_TIMEOUT = Duration.ofSeconds(10);
+    private static final String EMPTY_LIST = completeList(2);
+    private static final String NO_STARTUP_SETTINGS = "{}";
 
-    private static String readReadiness(ServerHarness harness) {
-        try {
-            return harness.exchange(0, READINESS_REQUEST);
-        } catch (IOException e) {
-            return "";
-        }
+    private static void assertReadyInTime(String discoveryAddress) throws Exception {
+        assertReadyInTime("pushed list", ServerConfigJson.pushedList(discoveryAddress));
+        assertReadyInTime("watched list", ServerConfigJson.watching(discoveryAddress));
     }
 
-    private static void assertReadyInTime(String discovery) throws Exception {
-        for (String mode : new String[] {"automatic", "subscribe"}) {
-            long began = System.nanoTime();
-            try (ServerHarness harness = new ServerHarness(ServerHarness.configJson(mode, discovery, ""), null, "{}")) {
-                ServerHarness.waitUntil(
-                        mode + ": ready", () -> readReadiness(harness).startsWith("HTTP/1.1 200"));
-            }
-            long took = System.nanoTime() - began;
-            assertTrue(mode + ": ready after " + took / 1_000_000 + " ms", took < READY_TIMEOUT_NANOS);
+    private static void assertReadyInTime(String description, ServerConfigJson config) throws Exception {
+        Stopwatch stopwatch = new Stopwatch();
+        try (ServerHarness harness = ServerHarness.withStartup(config, NO_STARTUP_SETTINGS)) {
+            waitUntil(description + ": ready", harness::isReady);
         }
+        stopwatch.assertBelow(READY_TIMEOUT);
     }
 
-    private static void assertReadyInTime(FakeHttpServer.ResponseScript script) throws Exception {
-        try (FakeHttpServer discovery = new FakeHttpServer(script)) {
+    private static void assertReadyInTime(FakeHttpServer.ResponseScript discoveryScript) throws Exception {
+        try (FakeHttpServer discovery = new FakeHttpServer(discoveryScript)) {
             assertReadyInTime(discovery.address());
         }
     }
 
     @Test
     public void readyWhenDiscoveryResponds() throws Exception {
-        assertReadyInTime(
-                (request, socket) -> write(socket, responseHead(200, CHUNKED_ENCODING) + chunk(EMPTY_ENDPOINT_LIST)));
+        assertReadyInTime((request, connection) -> write(connection, openStream(EMPTY_LIST)));
     }
 
     @Test
@@ -63,52 +56,55 @@
 
     @Test
     public void readyWhenConnectsToDiscoveryTimeOut() throws Exception {
-        List<SocketChannel> queue = new ArrayList<>();
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            InetSocketAddress address = new InetSocketAddress(full.getInetAddress(), full.getLocalPort());
-            for (int i = 0; i < 4; i++) {
-                SocketChannel waiting = SocketChannel.open();
-                queue.add(waiting);
-                waiting.configureBlocking(false);
-                waiting.connect(address);
-            }
-            assertReadyInTime("127.0.0.1:" + full.getLocalPort());
+        List<SocketChannel> queued = new ArrayList<>();
+        try (ServerSocket unaccepting = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            fillAcceptQueue(unaccepting, queued);
+
+            assertReadyInTime("127.0.0.1:" + unaccepting.getLocalPort());
         } finally {
-            for (SocketChannel waiting : queue) {
-                waiting.close();
+            for (SocketChannel channel : queued) {
+                channel.close();
             }
         }
     }
 
+    private static void fillAcceptQueue(ServerSocket unaccepting, List<SocketChannel> queued) throws IOException {
+        InetSocketAddress address = new InetSocketAddress(unaccepting.getInetAddress(), unaccepting.getLocalPort());
+        for (int i = 0; i < 4; i++) {
+            SocketChannel channel = SocketChannel.open();
+            queued.add(channel);
+            channel.configureBlocking(false);
+            channel.connect(address);
+        }
+    }
+
     @Test
     public void readyWhenDiscoveryIsThrottled() throws Exception {
-        assertReadyInTime((request, socket) -> write(socket, responseHead(503, NO_BODY)));
+        assertReadyInTime((request, connection) -> write(connection, status(503)));
     }
 
     @Test
     public void readyWhenDiscoveryNeverResponds() throws Exception {
-        assertReadyInTime((request, socket) -> socket.getInputStream().read());
+        assertReadyInTime((request, connection) -> awaitClose(connection));
     }
 
     @Test
     public void readyWhenDiscoveryRespondsSlowlyInFragments() throws Exception {
-        assertReadyInTime((request, socket) -> {
-            for (String piece : new String[] {
-                responseHead(200, CHUNKED_ENCODING),
-                chunk(EMPTY_ENDPOINT_LIST.substring(0, 9)),
-                chunk(EMPTY_ENDPOINT_LIST.substring(9))
-            }) {
+        List<String> fragments =
+                List.of(openStream(), chunk(EMPTY_LIST.substring(0, 9)), chunk(EMPTY_LIST.substring(9)));
+        assertReadyInTime((request, connection) -> {
+            for (String fragment : fragments) {
                 TimeUnit.MILLISECONDS.sleep(700);
-                write(socket, piece);
+                write(connection, fragment);
             }
         });
     }
 
     @Test
     public void readyWhenDiscoveryResetsConnections() throws Exception {
-        assertReadyInTime((request, socket) -> {
-            socket.setSoLinger(true, 0);
-            socket.close();
+        assertReadyInTime((request, connection) -> {
+            connection.setSoLinger(true, 0);
+            connection.close();
         });
     }
 }
--- a/node/src/test/java/fawnlb/server/ResponseStreamTest.java
+++ b/node/src/test/java/fawnlb/server/ResponseStreamTest.java
@@ -1,240 +1,221 @@
 package fawnlb.server;
 
-import static fawnlb.server.FakeHttpServer.CHUNKED_ENCODING;
-import static fawnlb.server.FakeHttpServer.chunk;
-import static fawnlb.server.FakeHttpServer.responseHead;
+import static fawnlb.server.Await.waitUntil;
+import static fawnlb.server.FakeHttpServer.awaitClose;
 import static fawnlb.server.FakeHttpServer.write;
-import static fawnlb.server.ServerHarness.waitUntil;
+import static fawnlb.server.Requests.chat;
+import static fawnlb.server.Responses.COMPLETE_STREAM;
+import static fawnlb.server.Responses.CONTENT_EVENT;
+import static fawnlb.server.Responses.LAST_CHUNK;
+import static fawnlb.server.Responses.chunk;
+import static fawnlb.server.Responses.openStream;
+import static fawnlb.server.Responses.stream;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.admin.AdminClient;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
-import java.util.concurrent.CountDownLatch;
+import java.time.Duration;
+import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.Test;
 
-/** The rules on streams, on real sockets. */
+/** Timeouts of streams, slow clients, and the admin listener that shows both. */
 public class ResponseStreamTest {
-    private static final String CONTENT_EVENT = "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n";
-    private static final String DONE_EVENT = "data: [DONE]\n\n";
-    /** Short times, so that what must be waited for is not waited for long. */
-    private static final String SHORT_TIMEOUTS =
+    /** Short timeouts keep the tests short. */
+    static final String SHORT_TIMEOUTS =
             "{\"silence\":{\"pause-ms\":200,\"most-ms\":400},\"readers\":{\"patience-ms\":500},"
                     + "\"admin\":{\"listen\":\"127.0.0.1:0\"}}";
 
-    private static String readAdmin(ServerHarness harness, boolean json) throws IOException {
-        return json
-                ? AdminClient.fetchTargetsAsJson(harness.server.adminAddress())
-                : AdminClient.fetchTargets(harness.server.adminAddress());
-    }
+    private static final String QUICK = "quick";
 
-    private static void waitForOpenStreams(ServerHarness harness, int streams) {
-        waitUntil(streams + " open", () -> {
-            try {
-                return readAdmin(harness, false).contains("\n" + streams + " stream(s) open");
-            } catch (IOException e) {
-                return false;
-            }
-        });
+    /** Returns what the admin listener shows while no stream is open. */
+    private static String awaitTableWithoutStreams(ServerHarness harness) throws IOException {
+        waitUntil("no open stream", () -> harness.backendTable().contains("\n0 stream(s) open"));
+        return harness.backendTable();
     }
 
     @Test
     public void stalledStreamIsAbortedWithoutLastChunk() throws Exception {
-        CountDownLatch over = new CountDownLatch(1);
-        String[] places = {
-            chunk(CONTENT_EVENT),
-            chunk(CONTENT_EVENT) + "2",
-            chunk(CONTENT_EVENT) + "20\r\n",
-            chunk(CONTENT_EVENT) + "20\r\ndata: {\"a\":\"",
-            chunk(CONTENT_EVENT) + "20\r\ndata: {\"a\":\"\u00e2"
-        };
-        for (String bytes : places) {
-            try (FakeHttpServer backend = new FakeHttpServer((request, socket) -> {
-                        write(socket, responseHead(200, CHUNKED_ENCODING) + bytes);
-                        over.await();
-                    });
-                    ServerHarness harness = ServerHarness.withStreamConfig(SHORT_TIMEOUTS, backend)) {
-                String answer = harness.exchange(0, ServerHarness.chatRequest("a", 4000));
-                assertTrue(answer, answer.startsWith("HTTP/1.1 200") && answer.contains(CONTENT_EVENT));
-                assertFalse(answer, answer.endsWith("0\r\n\r\n"));
-                waitForOpenStreams(harness, 0);
-                assertTrue(readAdmin(harness, false), readAdmin(harness, false).contains("stalled-midway 1"));
+        String eventBegun = chunk(CONTENT_EVENT) + "20\r\ndata: {\"a\":\"";
+        List<String> stallPoints = List.of(
+                chunk(CONTENT_EVENT),
+                chunk(CONTENT_EVENT) + "2",
+                chunk(CONTENT_EVENT) + "20\r\n",
+                eventBegun,
+                eventBegun + "\u00e2");
+        for (String sent : stallPoints) {
+            try (FakeHttpServer backend = FakeHttpServer.holdingOpenAfter(openStream() + sent);
+                    ServerHarness harness = ServerHarness.withStreams(SHORT_TIMEOUTS, backend)) {
+                String response = harness.exchange(chat("a", 4000));
+
+                assertTrue(response, response.startsWith("HTTP/1.1 200") && response.contains(CONTENT_EVENT));
+                assertFalse(response, response.endsWith(LAST_CHUNK));
+                String table = awaitTableWithoutStreams(harness);
+                assertTrue(table, table.contains("stalled-midway 1"));
             }
         }
-        over.countDown();
     }
 
-    /** The framing ended, the answer did not: the client must not take it for whole. */
+    /** The framing has ended and the response has not: the client must not take it for complete. */
     @Test
     public void responseWithoutFinalEventIsTruncated() throws Exception {
-        try (FakeHttpServer backend = new FakeHttpServer((request, socket) ->
-                        write(socket, responseHead(200, CHUNKED_ENCODING) + chunk(CONTENT_EVENT) + "0\r\n\r\n"));
-                ServerHarness harness = ServerHarness.withStreamConfig(SHORT_TIMEOUTS, backend)) {
-            String answer = harness.exchange(0, ServerHarness.chatRequest("a", 4000));
-            assertFalse(answer, answer.endsWith("0\r\n\r\n"));
-            waitForOpenStreams(harness, 0);
-            assertTrue(readAdmin(harness, true), readAdmin(harness, true).contains("\"cut-short-midway\":1"));
+        try (FakeHttpServer backend = FakeHttpServer.responding(stream(CONTENT_EVENT));
+                ServerHarness harness = ServerHarness.withStreams(SHORT_TIMEOUTS, backend)) {
+            String response = harness.exchange(chat("a", 4000));
+
+            assertFalse(response, response.endsWith(LAST_CHUNK));
+            awaitTableWithoutStreams(harness);
+            String json = harness.backendJson();
+            assertTrue(json, json.contains("\"cut-short-midway\":1"));
         }
     }
 
-    /** A retry that begins as the first attempt's first byte arrives: one answer, of one of them. */
+    /**
+     * The rest of the first attempt's head arrives when the second attempt has begun: the response is of one of them.
+     */
     @Test
     public void stalledResponseHeadIsRetried() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
-        FakeHttpServer.ResponseScript script = (request, socket) -> {
-            if (asked.incrementAndGet() == 1) {
-                write(socket, "HTTP/1.1 200 OK\r\nContent-");
-                waitUntil("given up", () -> asked.get() > 1);
-                write(socket, "Type: x\r\n\r\n");
+        AtomicInteger attempts = new AtomicInteger();
+        FakeHttpServer.ResponseScript script = (request, connection) -> {
+            if (attempts.incrementAndGet() == 1) {
+                write(connection, "HTTP/1.1 200 OK\r\nContent-");
+                waitUntil("retried", () -> attempts.get() > 1);
+                write(connection, "Type: x\r\n\r\n");
             } else {
-                write(socket, responseHead(200, CHUNKED_ENCODING) + chunk(CONTENT_EVENT + DONE_EVENT) + "0\r\n\r\n");
+                write(connection, COMPLETE_STREAM);
             }
         };
         try (FakeHttpServer one = new FakeHttpServer(script);
                 FakeHttpServer two = new FakeHttpServer(script);
-                ServerHarness harness = ServerHarness.withStreamConfig(SHORT_TIMEOUTS, one, two)) {
-            String answer = harness.exchange(0, ServerHarness.chatRequest("a", 4000));
-            assertTrue(answer, answer.endsWith("0\r\n\r\n"));
-            assertEquals(2, asked.get());
-            waitForOpenStreams(harness, 0);
-            assertTrue(readAdmin(harness, false), readAdmin(harness, false).contains("stalled-before-head 1"));
+                ServerHarness harness = ServerHarness.withStreams(SHORT_TIMEOUTS, one, two)) {
+            String response = harness.exchange(chat("a", 4000));
+
+            assertTrue(response, response.endsWith(LAST_CHUNK));
+            assertEquals(2, attempts.get());
+            String table = awaitTableWithoutStreams(harness);
+            assertTrue(table, table.contains("stalled-before-head 1"));
         }
     }
 
-    /** What a backend sends until its connection takes no more. */
-    private static FakeHttpServer.ResponseScript endlessResponse(AtomicInteger closed) {
-        byte[] text = new byte[8000];
-        Arrays.fill(text, (byte) 'x');
-        String event = "data: {\"choices\":[{\"delta\":{\"content\":\"" + new String(text, StandardCharsets.US_ASCII)
-                + "\"}}]}\n\n";
-        return (request, socket) -> {
-            if (request.requestId().startsWith("quick")) {
-                write(socket, responseHead(200, CHUNKED_ENCODING) + chunk(CONTENT_EVENT + DONE_EVENT) + "0\r\n\r\n");
+    /** A backend whose streams are endless, apart from those for requests whose id begins with {@link #QUICK}. */
+    private static FakeHttpServer endlessBackend(AtomicInteger cancelledAttempts) throws IOException {
+        String event = "data: {\"choices\":[{\"delta\":{\"content\":\"" + "x".repeat(8000) + "\"}}]}\n\n";
+        return new FakeHttpServer((request, connection) -> {
+            if (request.requestId().startsWith(QUICK)) {
+                write(connection, COMPLETE_STREAM);
                 return;
             }
-            write(socket, responseHead(200, CHUNKED_ENCODING));
+            write(connection, openStream());
             try {
                 while (true) {
-                    write(socket, chunk(event));
+                    write(connection, chunk(event));
                 }
             } catch (IOException e) {
-                closed.incrementAndGet();
+                cancelledAttempts.incrementAndGet();
                 throw e;
             }
-        };
+        });
     }
 
-    /** A reader that stops holds up its own stream alone, and its backend's work is called off in the end. */
+    private static void assertQuickRequestIsServed(ServerHarness harness, int number) throws IOException {
+        assertTrue(harness.exchange(chat(QUICK + "-" + number, 4000)).endsWith(LAST_CHUNK));
+    }
+
+    /** A client that stops reading delays its own stream alone, and the backend's work for it ends. */
     @Test
     public void stoppedClientIsDisconnectedWithoutDelayingOthers() throws Exception {
-        AtomicInteger closed = new AtomicInteger();
-        try (FakeHttpServer backend = new FakeHttpServer(endlessResponse(closed));
-                ServerHarness harness = ServerHarness.withStreamConfig(SHORT_TIMEOUTS, backend);
-                Socket stopped = harness.connect(0)) {
+        AtomicInteger cancelledAttempts = new AtomicInteger();
+        try (FakeHttpServer backend = endlessBackend(cancelledAttempts);
+                ServerHarness harness = ServerHarness.withStreams(SHORT_TIMEOUTS, backend);
+                Socket stopped = harness.connect()) {
             stopped.setReceiveBufferSize(4096);
-            write(stopped, ServerHarness.chatRequest("stopped", 4000));
-            waitUntil("one reader lags", () -> {
-                try {
-                    return readAdmin(harness, false).contains("reader s");
-                } catch (IOException e) {
-                    return false;
-                }
-            });
-            assertTrue(harness.exchange(0, ServerHarness.chatRequest("quick", 4000))
-                    .endsWith("0\r\n\r\n"));
-            waitUntil("its target's work is called off", () -> closed.get() == 1);
-            waitForOpenStreams(harness, 0);
-            assertTrue(readAdmin(harness, false), readAdmin(harness, false).contains("reader-stopped 1"));
-            assertTrue(readAdmin(harness, false).contains("\n0 stream(s) open, 0 byte(s) held"));
+            write(stopped, chat("stopped", 4000));
+            waitUntil("one slow client", () -> harness.backendTable().contains("reader s"));
+
+            assertQuickRequestIsServed(harness, 1);
+
+            waitUntil("the backend's work is cancelled", () -> cancelledAttempts.get() == 1);
+            String table = awaitTableWithoutStreams(harness);
+            assertTrue(table, table.contains("reader-stopped 1"));
+            assertTrue(table, table.contains("\n0 stream(s) open, 0 byte(s) held"));
         }
     }
 
-    /** A backend that outruns its reader is read from no faster than the reader reads, and gets its answer through. */
+    /** The backend is read as fast as the client reads, and the stream goes on. */
     @Test
     public void slowClientIsNotDisconnected() throws Exception {
-        AtomicInteger closed = new AtomicInteger();
-        try (FakeHttpServer backend = new FakeHttpServer(endlessResponse(closed));
-                ServerHarness harness = ServerHarness.withStreamConfig(SHORT_TIMEOUTS, backend);
-                Socket slow = harness.connect(0)) {
-            write(slow, ServerHarness.chatRequest("slow", 4000));
+        Duration readingTime = Duration.ofMillis(1500);
+        AtomicInteger cancelledAttempts = new AtomicInteger();
+        try (FakeHttpServer backend = endlessBackend(cancelledAttempts);
+                ServerHarness harness = ServerHarness.withStreams(SHORT_TIMEOUTS, backend);
+                Socket slow = harness.connect()) {
+            write(slow, chat("slow", 4000));
+
             InputStream in = slow.getInputStream();
-            byte[] some = new byte[1 << 16];
-            long end = System.nanoTime() + 1_500_000_000L;
-            while (System.nanoTime() < end) {
-                assertTrue(in.read(some) > 0);
+            byte[] part = new byte[1 << 16];
+            Stopwatch stopwatch = new Stopwatch();
+            while (stopwatch.elapsed().compareTo(readingTime) < 0) {
+                assertTrue(in.read(part) > 0);
             }
-            assertEquals(0, closed.get());
-        }
-    }
 
-    @Test
-    public void adminListenerServesOnlyReadRequests() throws Exception {
-        String[][] table = {
-            {"GET /targets HTTP/1.1", "200"},
-            {"GET /targets.json HTTP/1.1", "200"},
-            {"GET /x HTTP/1.1", "404"},
-            {"DELETE /targets HTTP/1.1", "405"}
-        };
-        try (FakeHttpServer backend = new FakeHttpServer((request, socket) -> {});
-                ServerHarness harness = ServerHarness.withStreamConfig(SHORT_TIMEOUTS, backend)) {
-            for (String[] row : table) {
-                String answer = harness.exchange(1, row[0] + "\r\nHost: x\r\nConnection: close\r\n\r\n");
-                assertTrue(answer, answer.startsWith("HTTP/1.1 " + row[1]));
-            }
+            assertEquals(0, cancelledAttempts.get());
         }
     }
 
-    /** A backend that sends without end to a reader who takes it all has its turn, and no more. */
+    /**
+     * A backend that sends without end to a client that reads everything gets its turn on the event loop, and no more.
+     */
     @Test
     public void endlessStreamDoesNotDelayOthers() throws Exception {
-        AtomicInteger closed = new AtomicInteger();
-        try (FakeHttpServer backend = new FakeHttpServer(endlessResponse(closed));
-                ServerHarness harness = ServerHarness.withStreamConfig(SHORT_TIMEOUTS, backend);
-                Socket fast = harness.connect(0)) {
-            write(fast, ServerHarness.chatRequest("fast", 4000));
-            Thread reader = new Thread(() -> {
-                try {
-                    fast.getInputStream().transferTo(OutputStream.nullOutputStream());
-                } catch (IOException e) {
-                    // The test is over.
-                }
-            });
-            reader.setDaemon(true);
-            reader.start();
+        AtomicInteger cancelledAttempts = new AtomicInteger();
+        try (FakeHttpServer backend = endlessBackend(cancelledAttempts);
+                ServerHarness harness = ServerHarness.withStreams(SHORT_TIMEOUTS, backend);
+                Socket fast = harness.connect()) {
+            write(fast, chat("fast", 4000));
+            readInBackground(fast);
+
             for (int i = 0; i < 20; i++) {
-                assertTrue(harness.exchange(0, ServerHarness.chatRequest("quick-" + i, 4000))
-                        .endsWith("0\r\n\r\n"));
+                assertQuickRequestIsServed(harness, i);
             }
-            assertEquals(0, closed.get());
+
+            assertEquals(0, cancelledAttempts.get());
         }
     }
 
-    /** A stalled stream does not keep a node from ending. */
+    private static void readInBackground(Socket client) {
+        Thread reader = new Thread(() -> {
+            try {
+                client.getInputStream().transferTo(OutputStream.nullOutputStream());
+            } catch (IOException e) {
+                // The test has ended.
+            }
+        });
+        reader.setDaemon(true);
+        reader.start();
+    }
+
+    /** A request line and the status that it gets. */
+    private record AdminRequest(String requestLine, int status) {}
+
     @Test
-    public void shutdownDoesNotWaitBeyondStallTimeout() throws Exception {
-        CountDownLatch over = new CountDownLatch(1);
-        try (FakeHttpServer backend = new FakeHttpServer((request, socket) -> {
-                    write(socket, responseHead(200, CHUNKED_ENCODING) + chunk(CONTENT_EVENT));
-                    over.await();
-                });
-                ServerHarness harness = ServerHarness.withStreamConfig(SHORT_TIMEOUTS, backend);
-                Socket client = harness.connect(0)) {
-            write(client, ServerHarness.chatRequest("a", 4000));
-            waitUntil("flowing", () -> harness.server.openRequests() == 1 && backend.requests.size() == 1);
-            long begun = System.nanoTime();
-            harness.server.shutDownGracefully();
-            assertTrue(System.nanoTime() - begun < 5_000_000_000L);
-            assertEquals(0, harness.server.openRequests());
-            String answer = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(answer, answer.contains(CONTENT_EVENT) && !answer.endsWith("0\r\n\r\n"));
+    public void adminListenerServesOnlyReadRequests() throws Exception {
+        List<AdminRequest> requests = List.of(
+                new AdminRequest("GET /targets HTTP/1.1", 200),
+                new AdminRequest("GET /targets.json HTTP/1.1", 200),
+                new AdminRequest("GET /x HTTP/1.1", 404),
+                new AdminRequest("DELETE /targets HTTP/1.1", 405));
+        try (FakeHttpServer backend = new FakeHttpServer((request, connection) -> awaitClose(connection));
+                ServerHarness harness = ServerHarness.withStreams(SHORT_TIMEOUTS, backend)) {
+            for (AdminRequest request : requests) {
+                String response = harness.exchangeWithAdmin(
+                        request.requestLine() + "\r\nHost: x\r\n" + Requests.CLOSE_CONNECTION + "\r\n");
+
+                assertTrue(response, response.startsWith("HTTP/1.1 " + request.status()));
+            }
         }
-        over.countDown();
     }
 }
--- a/node/src/test/java/fawnlb/server/ServerHarness.java
+++ b/node/src/test/java/fawnlb/server/ServerHarness.java
@@ -1,5 +1,6 @@
 package fawnlb.server;
 
+import fawnlb.admin.AdminClient;
 import fawnlb.config.MessagesConfiguration;
 import fawnlb.config.ServerConfiguration;
 import fawnlb.config.StartupConfiguration;
@@ -11,150 +12,150 @@
 import java.net.Socket;
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.List;
 import java.util.Map;
-import java.util.Objects;
-import java.util.function.BooleanSupplier;
-import java.util.stream.Stream;
+import java.util.concurrent.TimeUnit;
 
-/** A node under test among stand-ins, and a client's side of a connection to it. */
+/** A server in this process among {@link FakeHttpServer}s, and the client's side of connections to it. */
 final class ServerHarness implements AutoCloseable {
-    static final long WAIT_TIMEOUT_NANOS = 10_000_000_000L;
-    /** Most rules are tested on a list that is believed as it stands. */
-    private static final String WITHOUT_RESTORED_ENDPOINT_FILTER = "{\"probation\":{\"on\":false}}";
+    private static final int READ_TIMEOUT_MS = 10_000;
 
     final Server server;
 
-    /** Settings of both kinds of class; the mode is that of the list. */
-    static String configJson(String mode, String discovery, String endpoints) {
-        return "{\"name\":\"t\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery
-                + "\",\"seed\":\"1\",\"limits\":{"
-                + "\"sockets\":200},\"known\":{\"revision\":1,\"complete\":true,\"members\":[" + endpoints
-                + "]},\"settings\":{"
-                + "\"localities\":[\"a\"],\"host-types\":[\"c\",\"m\"],\"registry-mode\":\"" + mode + "\",\"limits\":{"
-                + "\"most-tries\":6,\"most-held\":100,\"may-cancel\":true,\"retry-after\":true,\"max-retry-after-ns\":2000000000,"
-                + "\"connect-timeout-ns\":250000000,\"conn-idle-ns\":15000000000},\"rules\":{\"ask-within-ns\":10000000000},"
-                + "\"profiles\":[{\"name\":\"chat\",\"effect\":\"safe\",\"deadline-ns\":4000000000,\"late-worth\":0.5},"
-                + "{\"name\":\"strict\",\"effect\":\"unsafe\",\"deadline-ns\":4000000000,\"late-worth\":0.5}]}}";
+    private ServerHarness(ServerConfigJson config, String brokerJson, String startupJson, StreamConfiguration streams)
+            throws Exception {
+        ServerConfiguration configuration = ServerConfiguration.read(config.file(), Map.of());
+        MessagesConfiguration broker =
+                brokerJson == null ? null : MessagesConfiguration.read(ServerConfigJson.temporaryFile(brokerJson));
+        StartupConfiguration startup =
+                StartupConfiguration.read(ServerConfigJson.temporaryFile(startupJson), configuration.settings());
+        server = new Server(configuration, broker, startup, streams);
+        server.start();
     }
 
-    static String endpointJson(int number, String address, String hostType, String phase) {
-        return "{\"id\":\"s-0000000" + number + "\",\"host_port\":\"" + address + "\",\"locality\":\"a\",\"flavor\":\""
-                + hostType + "\",\"cell\":0,\"phase\":\"" + phase + "\",\"size\":1,\"up_since_ms\":0}";
+    static ServerHarness withConfig(ServerConfigJson config) throws Exception {
+        return withBroker(config, null);
     }
 
-    ServerHarness(String config, String brokerJson) throws Exception {
-        this(config, brokerJson, WITHOUT_RESTORED_ENDPOINT_FILTER);
+    /** Starts a server with a fixed list of these backends, which are ready and speak the chat dialect. */
+    static ServerHarness withBackends(FakeHttpServer... backends) throws Exception {
+        return withConfig(fixedList(backends));
     }
 
-    /** With backends as {@link #withBackends} has them and a file of the operators' for streams. */
-    static ServerHarness withStreamConfig(String streams, FakeHttpServer... backends) throws Exception {
+    static ServerHarness withBroker(ServerConfigJson config, String brokerJson) throws Exception {
         return new ServerHarness(
-                configJson(backends),
-                null,
-                WITHOUT_RESTORED_ENDPOINT_FILTER,
-                StreamConfiguration.read(temporaryFile(streams)));
+                config, brokerJson, ServerConfigJson.WITHOUT_RESTORED_ENDPOINT_FILTER, StreamConfiguration.defaults());
     }
 
-    ServerHarness(String config, String brokerJson, String startJson) throws Exception {
-        this(config, brokerJson, startJson, StreamConfiguration.defaults());
-    }
-
-    private ServerHarness(String config, String brokerJson, String startJson, StreamConfiguration streams)
-            throws Exception {
-        ServerConfiguration read = ServerConfiguration.read(temporaryFile(config), Map.of());
-        server = new Server(
-                read,
-                brokerJson == null ? null : MessagesConfiguration.read(temporaryFile(brokerJson)),
-                StartupConfiguration.read(temporaryFile(startJson), read.settings()),
-                streams);
-        server.start();
+    static ServerHarness withStartup(ServerConfigJson config, String startupJson) throws Exception {
+        return new ServerHarness(config, null, startupJson, StreamConfiguration.defaults());
     }
 
-    /** A node whose list names these backends, ready and of the chat dialect. */
-    static ServerHarness withBackends(FakeHttpServer... backends) throws Exception {
-        return new ServerHarness(configJson(backends), null);
+    /** Starts a server with backends as {@link #withBackends} and with a file of settings for streams. */
+    static ServerHarness withStreams(String streamsJson, FakeHttpServer... backends) throws Exception {
+        return new ServerHarness(
+                fixedList(backends),
+                null,
+                ServerConfigJson.WITHOUT_RESTORED_ENDPOINT_FILTER,
+                StreamConfiguration.read(ServerConfigJson.temporaryFile(streamsJson)));
     }
 
-    private static String configJson(FakeHttpServer... backends) {
-        StringBuilder endpoints = new StringBuilder();
+    private static ServerConfigJson fixedList(FakeHttpServer... backends) {
+        ServerConfigJson config = ServerConfigJson.fixedList();
         for (int i = 0; i < backends.length; i++) {
-            endpoints.append(i > 0 ? "," : "").append(endpointJson(i, backends[i].address(), "c", "ready"));
+            config.endpoints(EndpointLists.ready(i, backends[i]));
         }
-        return configJson("automatic", "127.0.0.1:1", endpoints.toString());
+        return config;
     }
 
-    static Path temporaryFile(String text) throws IOException {
-        Path file = Files.createTempFile("fawnlb", ".json");
-        file.toFile().deleteOnExit();
-        return Files.writeString(file, text);
+    Socket connect() throws IOException {
+        return connect(server.platformAddress());
     }
 
-    private List<InetSocketAddress> openAddresses() {
-        return Stream.of(server.platformAddress(), server.messagesAddress(), server.adminAddress())
-                .filter(Objects::nonNull)
-                .toList();
+    Socket connectToBroker() throws IOException {
+        return connect(server.messagesAddress());
     }
 
-    Socket connect(int listener) throws IOException {
-        InetSocketAddress address = openAddresses().get(listener);
+    private static Socket connect(InetSocketAddress address) throws IOException {
         Socket socket = new Socket(address.getAddress(), address.getPort());
-        socket.setSoTimeout(10_000);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         return socket;
     }
 
-    static String postRequest(String path, String body, String... headers) {
-        return "POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: "
-                + body.getBytes(StandardCharsets.UTF_8).length + "\r\n" + String.join("", headers) + "\r\n" + body;
+    /** Sends a request and returns all that the server sends until it closes the connection. */
+    String exchange(String request) throws IOException {
+        return exchange(server.platformAddress(), request);
     }
 
-    static String chatRequest(String id, int deadlineMs, String... headers) {
-        return postRequest(
-                "/v1/chat/completions?q=1",
-                "{\"a\":1}",
-                "X-Request-Id: " + id + "\r\nX-Class: chat\r\nConnection: close\r\n" + "X-Deadline-Ms: " + deadlineMs
-                        + "\r\n" + String.join("", headers));
+    String exchangeWithBroker(String request) throws IOException {
+        return exchange(server.messagesAddress(), request);
     }
 
-    /** All that the node sends until it closes the connection. */
-    String exchange(int listener, String request) throws IOException {
-        try (Socket socket = connect(listener)) {
+    String exchangeWithAdmin(String request) throws IOException {
+        return exchange(server.adminAddress(), request);
+    }
+
+    private static String exchange(InetSocketAddress address, String request) throws IOException {
+        try (Socket socket = connect(address)) {
             try {
                 FakeHttpServer.write(socket, request);
             } catch (SocketException e) {
-                // A request may be answered, and its connection closed, before all of it is written; the answer is
-                // there.
+                // The server may respond and close the connection before it has read the whole request.
             }
-            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            return readToEnd(socket);
         }
     }
 
-    /** A port on which nobody listens for now. */
-    static int unusedPort() throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return any.getLocalPort();
+    /** Returns all that the server still sends on a connection. */
+    static String readToEnd(Socket socket) throws IOException {
+        return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    }
+
+    /** Returns what the server sends on a connection until it closes or resets it. */
+    static String readToResetOrEnd(Socket socket) throws IOException {
+        StringBuilder text = new StringBuilder();
+        try (socket) {
+            for (int c = socket.getInputStream().read();
+                    c >= 0;
+                    c = socket.getInputStream().read()) {
+                text.append((char) c);
+            }
+        } catch (SocketException e) {
+            // A reset is a close that leaves bytes of the client unread.
         }
+        return text.toString();
     }
 
-    /** Lets the connections to backends rest for as long as they must before they are used again. */
-    static void awaitConnectionReuseDelay() {
-        long endNanos = System.nanoTime() + Server.CONNECTION_REUSE_DELAY_NANOS + 1_000_000;
-        waitUntil("rested", () -> System.nanoTime() > endNanos);
+    boolean isReady() throws IOException {
+        return exchange(Requests.READINESS).startsWith("HTTP/1.1 200");
     }
 
-    /** Waits for what must come to be true. */
-    static void waitUntil(String expectation, BooleanSupplier condition) {
-        long deadlineNanos = System.nanoTime() + WAIT_TIMEOUT_NANOS;
-        while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > deadlineNanos) {
-                throw new AssertionError("never came: " + expectation);
-            }
-            Thread.yield();
+    /** Returns the admin listener's table of backends. */
+    String backendTable() throws IOException {
+        return AdminClient.fetchTargets(server.adminAddress());
+    }
+
+    /** Returns the admin listener's JSON document of backends. */
+    String backendJson() throws IOException {
+        return AdminClient.fetchTargetsAsJson(server.adminAddress());
+    }
+
+    void awaitNoOpenRequests() {
+        Await.waitUntil("no open requests", () -> server.openRequests() == 0);
+    }
+
+    /** Returns a port that refuses connections, as long as no other process takes it. */
+    static int unusedPort() throws IOException {
+        try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return unused.getLocalPort();
         }
     }
 
+    /** Waits as long as the server leaves a backend's connection unused before it is used again. */
+    static void awaitConnectionReuseDelay() {
+        long endNanos = System.nanoTime() + Server.CONNECTION_REUSE_DELAY_NANOS + TimeUnit.MILLISECONDS.toNanos(1);
+        Await.waitUntil("connections may be reused", () -> System.nanoTime() > endNanos);
+    }
+
     @Override
     public void close() {
         server.stopNow();
--- a/node/src/test/java/fawnlb/server/StartWithoutDiscoveryTest.java
+++ b/node/src/test/java/fawnlb/server/StartWithoutDiscoveryTest.java
@@ -1,9 +1,18 @@
 package fawnlb.server;
 
-import static fawnlb.server.FakeHttpServer.CHUNKED_ENCODING;
-import static fawnlb.server.FakeHttpServer.chunk;
-import static fawnlb.server.FakeHttpServer.responseHead;
+import static fawnlb.server.Await.waitUntil;
+import static fawnlb.server.EndpointLists.completeList;
+import static fawnlb.server.EndpointLists.ready;
+import static fawnlb.server.FakeHttpServer.awaitClose;
 import static fawnlb.server.FakeHttpServer.write;
+import static fawnlb.server.Requests.chat;
+import static fawnlb.server.Requests.sessionKey;
+import static fawnlb.server.Responses.CHUNKED_ENCODING;
+import static fawnlb.server.Responses.DONE_EVENT;
+import static fawnlb.server.Responses.openStream;
+import static fawnlb.server.Responses.responseHead;
+import static fawnlb.server.Responses.status;
+import static fawnlb.server.Responses.stream;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -16,22 +25,50 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
+import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import org.junit.Before;
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** Starts from a remembered list, on real sockets: discovery is nowhere unless the test brings it. */
+/** Starts from a restored endpoint list, while discovery is down unless the test starts it. */
 public class StartWithoutDiscoveryTest {
-    private static final String UNREACHABLE = "127.0.0.1:1";
+    private static final ServerConfigJson WITHOUT_DISCOVERY = ServerConfigJson.watching(ServerConfigJson.UNREACHABLE);
+    private static final String NO_STARTUP_SETTINGS = "{}";
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
-    private static FakeHttpServer servingBackend() throws Exception {
-        return new FakeHttpServer((request, socket) ->
-                write(socket, responseHead(200, CHUNKED_ENCODING) + chunk("data: [DONE]\n\n") + "0\r\n\r\n"));
+    private Path snapshotFile;
+
+    @Before
+    public void nameSnapshotFile() {
+        snapshotFile = folder.getRoot().toPath().resolve("list");
+    }
+
+    private static FakeHttpServer servingBackend() throws IOException {
+        return FakeHttpServer.responding(stream(DONE_EVENT));
+    }
+
+    /** Returns the address of a backend that has gone. */
+    private static String closedAddress() throws IOException {
+        try (FakeHttpServer gone = servingBackend()) {
+            return gone.address();
+        }
+    }
+
+    private void writeSnapshot(String... addresses) throws IOException {
+        long now = System.currentTimeMillis();
+        DiscoveredEndpoint[] endpoints = new DiscoveredEndpoint[addresses.length];
+        for (int i = 0; i < addresses.length; i++) {
+            endpoints[i] = endpoint(i + 1, addresses[i]);
+        }
+        List<Snapshot.Entry> entries = Arrays.stream(endpoints)
+                .map(endpoint -> new Snapshot.Entry(endpoint, now, now))
+                .toList();
+        new SnapshotStore(snapshotFile).write(new Snapshot(now, 99, entries));
     }
 
     private static DiscoveredEndpoint endpoint(int number, String address) {
@@ -48,146 +85,119 @@
                 0);
     }
 
-    private String startJson(String extraFields, DiscoveredEndpoint... restored) throws Exception {
-        Path file = folder.getRoot().toPath().resolve("list");
-        long now = System.currentTimeMillis();
-        if (restored.length > 0) {
-            new SnapshotStore(file)
-                    .write(new Snapshot(
-                            now,
-                            99,
-                            Arrays.stream(restored)
-                                    .map(member -> new Snapshot.Entry(member, now, now))
-                                    .toList()));
-        }
-        return "{\"snapshot\":{\"file\":\"" + file + "\",\"least-interval-ms\":100}" + extraFields + "}";
+    /** Returns startup settings with the snapshot's file and, from their leading comma on, further settings. */
+    private String startupJson(String furtherSettings) {
+        return "{\"snapshot\":{\"file\":\"" + snapshotFile + "\",\"least-interval-ms\":100}" + furtherSettings + "}";
+    }
+
+    private ServerHarness startFromSnapshot(ServerConfigJson config) throws Exception {
+        return ServerHarness.withStartup(config, startupJson(""));
+    }
+
+    private static void assertServed(ServerHarness harness, String request) throws IOException {
+        String response = harness.exchange(request);
+        assertTrue(response, response.startsWith("HTTP/1.1 200"));
+    }
+
+    private static void assertRejectedWithRetryAfter(ServerHarness harness, String request) throws IOException {
+        String response = harness.exchange(request);
+        assertTrue(response, response.startsWith("HTTP/1.1 503") && response.contains("Retry-After"));
     }
 
     @Test
     public void restoredEndpointsServeWhileDiscoveryIsDown() throws Exception {
-        String closedAddress;
-        try (FakeHttpServer gone = servingBackend()) {
-            closedAddress = gone.address();
-        }
         try (FakeHttpServer backend = servingBackend()) {
-            try (ServerHarness harness = new ServerHarness(
-                    ServerHarness.configJson("subscribe", UNREACHABLE, ""),
-                    null,
-                    startJson("", endpoint(1, backend.address()), endpoint(2, closedAddress)))) {
+            writeSnapshot(backend.address(), closedAddress());
+            try (ServerHarness harness = startFromSnapshot(WITHOUT_DISCOVERY)) {
                 for (int i = 0; i < 5; i++) {
-                    String answer =
-                            harness.exchange(0, ServerHarness.chatRequest("id" + i, 3000, "X-Key: a" + i + "\r\n"));
-                    assertTrue(answer, answer.startsWith("HTTP/1.1 200"));
+                    assertServed(harness, chat("id" + i, 3000, sessionKey("a" + i)));
                 }
             }
         }
     }
 
     /**
-     * What stands behind a remembered address may be another backend by now, of no list that this node was given. No
-     * time that passes tells; an answer does, be it that nothing has changed, and so does a call that fails.
+     * Without a snapshot, another backend may have taken over a configured address. Only discovery's response tells, be
+     * it that nothing has changed, and so does a failed call.
      */
     @Test
     public void configuredEndpointsAreUsedOnlyAfterDiscoveryResponds() throws Exception {
-        String ready = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-        for (String word : new String[] {
-            responseHead(200, CHUNKED_ENCODING) + chunk("\n"),
-            responseHead(200, CHUNKED_ENCODING) + chunk("{\"revision\":2," + "\"members\":[]}\n"),
-            responseHead(503, "Content-Length: 0\r\n")
-        }) {
-            CountDownLatch speaks = new CountDownLatch(1);
+        String nothingChanged = openStream("\n");
+        String emptyUpdate = openStream("{\"revision\":2,\"members\":[]}\n");
+        for (String discoveryResponse : List.of(nothingChanged, emptyUpdate, status(503))) {
+            CountDownLatch respond = new CountDownLatch(1);
             try (FakeHttpServer backend = servingBackend();
-                    FakeHttpServer discovery = new FakeHttpServer((request, socket) -> {
-                        speaks.await(10, TimeUnit.SECONDS);
-                        write(socket, word);
-                        socket.getInputStream().read();
+                    FakeHttpServer discovery = new FakeHttpServer((request, connection) -> {
+                        respond.await(10, TimeUnit.SECONDS);
+                        write(connection, discoveryResponse);
+                        awaitClose(connection);
                     });
-                    ServerHarness harness = new ServerHarness(
-                            ServerHarness.configJson(
-                                    "subscribe",
-                                    discovery.address(),
-                                    ServerHarness.endpointJson(1, backend.address(), "c", "ready")),
-                            null,
-                            "{}")) {
-                ServerHarness.waitUntil("asked", () -> !discovery.requests.isEmpty());
-                assertTrue(harness.exchange(0, ready).startsWith("HTTP/1.1 503"));
-                String early = harness.exchange(0, ServerHarness.chatRequest("early", 100));
-                assertTrue(early, early.startsWith("HTTP/1.1 503") && early.contains("Retry-After"));
+                    ServerHarness harness = ServerHarness.withStartup(
+                            ServerConfigJson.watching(discovery).endpoints(ready(1, backend)), NO_STARTUP_SETTINGS)) {
+                waitUntil("discovery is asked", () -> !discovery.requests.isEmpty());
+                assertTrue(harness.exchange(Requests.READINESS).startsWith("HTTP/1.1 503"));
+                assertRejectedWithRetryAfter(harness, chat("early", 100));
                 assertEquals(0, backend.requests.size());
-                speaks.countDown();
-                ServerHarness.waitUntil("ready", () -> {
-                    try {
-                        return harness.exchange(0, ready).startsWith("HTTP/1.1 200");
-                    } catch (IOException e) {
-                        return false;
-                    }
-                });
-                String answer = harness.exchange(0, ServerHarness.chatRequest("id", 3000));
-                assertTrue(answer, answer.startsWith("HTTP/1.1 200"));
+
+                respond.countDown();
+
+                waitUntil("ready", harness::isReady);
+                assertServed(harness, chat("id", 3000));
             }
         }
     }
 
-    /** Nothing more is sent to a backend that has not yet answered than its room: here one of three nodes' eight. */
     @Test
     public void unverifiedBackendIsLimitedToProbeRequests() throws Exception {
-        CountDownLatch answering = new CountDownLatch(1);
-        try (FakeHttpServer backend = new FakeHttpServer((request, socket) -> {
-            answering.await(10, TimeUnit.SECONDS);
-            write(socket, responseHead(200, CHUNKED_ENCODING) + chunk("data: [DONE]\n\n") + "0\r\n\r\n");
+        int clientCount = 6;
+        CountDownLatch respond = new CountDownLatch(1);
+        try (FakeHttpServer backend = new FakeHttpServer((request, connection) -> {
+            respond.await(10, TimeUnit.SECONDS);
+            write(connection, stream(DONE_EVENT));
         })) {
-            try (ServerHarness harness = new ServerHarness(
-                    ServerHarness.configJson("subscribe", UNREACHABLE, ""),
-                    null,
-                    startJson(",\"probation\":{\"waiting\":2}", endpoint(1, backend.address())))) {
-                Socket[] clients = new Socket[6];
+            writeSnapshot(backend.address());
+            String twoProbeRequests = startupJson(",\"probation\":{\"waiting\":2}");
+            try (ServerHarness harness = ServerHarness.withStartup(WITHOUT_DISCOVERY, twoProbeRequests)) {
+                Socket[] clients = new Socket[clientCount];
                 for (int i = 0; i < clients.length; i++) {
-                    clients[i] = harness.connect(0);
-                    write(clients[i], ServerHarness.chatRequest("id" + i, 6000));
+                    clients[i] = harness.connect();
+                    write(clients[i], chat("id" + i, 6000));
                 }
-                ServerHarness.waitUntil("six taken", () -> harness.server.openRequests() == clients.length);
-                ServerHarness.waitUntil("two out", () -> backend.requests.size() == 2);
-                answering.countDown();
+                waitUntil("all requests are open", () -> harness.server.openRequests() == clientCount);
+                waitUntil("two are forwarded", () -> backend.requests.size() == 2);
+
+                respond.countDown();
+
                 for (Socket client : clients) {
-                    assertTrue(new String(client.getInputStream().readAllBytes()).startsWith("HTTP/1.1 200"));
+                    assertTrue(ServerHarness.readToEnd(client).startsWith("HTTP/1.1 200"));
                     client.close();
                 }
-                assertEquals(clients.length, backend.requests.size());
+                assertEquals(clientCount, backend.requests.size());
             }
         }
     }
 
     @Test
     public void discoveredListReplacesRestoredListAndIsSaved() throws Exception {
-        try (FakeHttpServer remembered = servingBackend();
+        try (FakeHttpServer restored = servingBackend();
                 FakeHttpServer listed = servingBackend();
-                FakeHttpServer discovery = new FakeHttpServer((request, socket) -> write(
-                        socket,
-                        responseHead(200, CHUNKED_ENCODING)
-                                + chunk("{\"revision\":3,\"complete\":true,\"members\":["
-                                        + ServerHarness.endpointJson(2, listed.address(), "c", "ready") + "]}\n")))) {
-            try (ServerHarness harness = new ServerHarness(
-                    ServerHarness.configJson("subscribe", discovery.address(), ""),
-                    null,
-                    startJson("", endpoint(1, remembered.address())))) {
-                Path file = folder.getRoot().toPath().resolve("list");
-                ServerHarness.waitUntil("remembered anew", () -> {
-                    try {
-                        return SnapshotStore.read(file)
+                FakeHttpServer discovery = FakeHttpServer.responding(openStream(completeList(3, ready(2, listed))))) {
+            writeSnapshot(restored.address());
+            try (ServerHarness harness = startFromSnapshot(ServerConfigJson.watching(discovery))) {
+                waitUntil(
+                        "discovered list is saved",
+                        () -> SnapshotStore.read(snapshotFile)
                                 .entries()
                                 .get(0)
                                 .endpoint()
                                 .id()
-                                .equals("s-00000002");
-                    } catch (IOException e) {
-                        return false;
-                    }
-                });
-                assertTrue(discovery.requests.get(0).requestLine().contains("from=0"));
-                int before = remembered.requests.size();
-                assertTrue(harness.exchange(0, ServerHarness.chatRequest("id", 3000))
-                        .startsWith("HTTP/1.1 200"));
-                assertEquals(before, remembered.requests.size());
+                                .equals("s-00000002"));
+                assertTrue(discovery.requestLine(0).contains("from=0"));
+                int requestsBefore = restored.requests.size();
+
+                assertServed(harness, chat("id", 3000));
+
+                assertEquals(requestsBefore, restored.requests.size());
                 assertEquals(1, listed.requests.size());
             }
         }
@@ -196,14 +206,12 @@
     @Test
     public void corruptSnapshotFallsBackToPreviousSnapshot() throws Exception {
         try (FakeHttpServer backend = servingBackend()) {
-            String start = startJson("", endpoint(1, backend.address()));
-            Path file = folder.getRoot().toPath().resolve("list");
-            Files.copy(file, file.resolveSibling("list.1"));
-            Files.write(file, new byte[] {1, 2, 3});
-            try (ServerHarness harness =
-                    new ServerHarness(ServerHarness.configJson("subscribe", UNREACHABLE, ""), null, start)) {
-                assertTrue(harness.exchange(0, ServerHarness.chatRequest("id", 3000))
-                        .startsWith("HTTP/1.1 200"));
+            writeSnapshot(backend.address());
+            Files.copy(snapshotFile, snapshotFile.resolveSibling("list.1"));
+            Files.write(snapshotFile, new byte[] {1, 2, 3});
+
+            try (ServerHarness harness = startFromSnapshot(WITHOUT_DISCOVERY)) {
+                assertServed(harness, chat("id", 3000));
             }
         }
     }
@@ -211,36 +219,25 @@
     @Test
     public void truncatedDiscoveryListIsIgnored() throws Exception {
         try (FakeHttpServer backend = servingBackend();
-                FakeHttpServer discovery = new FakeHttpServer((request, socket) -> {
-                    write(
-                            socket,
-                            responseHead(200, CHUNKED_ENCODING)
-                                    + "400\r\n{\"revision\":3,\"complete\":true,\"members\":[");
-                    socket.close();
+                FakeHttpServer discovery = new FakeHttpServer((request, connection) -> {
+                    String truncated = "400\r\n{\"revision\":3,\"complete\":true,\"members\":[";
+                    write(connection, responseHead(200, CHUNKED_ENCODING) + truncated);
+                    connection.close();
                 })) {
-            try (ServerHarness harness = new ServerHarness(
-                    ServerHarness.configJson("subscribe", discovery.address(), ""),
-                    null,
-                    startJson("", endpoint(1, backend.address())))) {
-                ServerHarness.waitUntil("asked again", () -> discovery.requests.size() > 1);
-                assertTrue(harness.exchange(0, ServerHarness.chatRequest("id", 3000))
-                        .startsWith("HTTP/1.1 200"));
+            writeSnapshot(backend.address());
+            try (ServerHarness harness = startFromSnapshot(ServerConfigJson.watching(discovery))) {
+                waitUntil("discovery is asked again", () -> discovery.requests.size() > 1);
+
+                assertServed(harness, chat("id", 3000));
             }
         }
     }
 
     @Test
     public void requestIsRejectedBeforeDeadlineWhenAllRestoredBackendsAreGone() throws Exception {
-        String closedAddress;
-        try (FakeHttpServer gone = servingBackend()) {
-            closedAddress = gone.address();
-        }
-        try (ServerHarness harness = new ServerHarness(
-                ServerHarness.configJson("subscribe", UNREACHABLE, ""),
-                null,
-                startJson("", endpoint(1, closedAddress)))) {
-            String answer = harness.exchange(0, ServerHarness.chatRequest("id", 500));
-            assertTrue(answer, answer.startsWith("HTTP/1.1 503") && answer.contains("Retry-After"));
+        writeSnapshot(closedAddress());
+        try (ServerHarness harness = startFromSnapshot(WITHOUT_DISCOVERY)) {
+            assertRejectedWithRetryAfter(harness, chat("id", 500));
         }
     }
 }
--- a/node/src/test/java/fawnlb/server/TranslationMatrixTest.java
+++ b/node/src/test/java/fawnlb/server/TranslationMatrixTest.java
@@ -1,25 +1,26 @@
 package fawnlb.server;
 
-import static fawnlb.server.FakeHttpServer.CHUNKED_ENCODING;
-import static fawnlb.server.FakeHttpServer.NO_BODY;
-import static fawnlb.server.FakeHttpServer.chunk;
-import static fawnlb.server.FakeHttpServer.responseHead;
+import static fawnlb.server.Await.waitUntil;
+import static fawnlb.server.FakeHttpServer.awaitClose;
 import static fawnlb.server.FakeHttpServer.write;
-import static fawnlb.server.ServerHarness.waitUntil;
+import static fawnlb.server.Requests.CLOSE_CONNECTION;
+import static fawnlb.server.Requests.post;
+import static fawnlb.server.Responses.LAST_CHUNK;
+import static fawnlb.server.Responses.NOT_RUN;
+import static fawnlb.server.Responses.openStream;
+import static fawnlb.server.Responses.responseHead;
+import static fawnlb.server.Responses.status;
+import static fawnlb.server.Responses.stream;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
 import fawnlb.translation.Dialect;
-import java.net.DatagramPacket;
-import java.net.DatagramSocket;
-import java.net.InetAddress;
+import java.io.IOException;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.After;
 import org.junit.Before;
@@ -27,24 +28,34 @@
 import org.junit.runner.RunWith;
 import org.junit.runners.Parameterized;
 
-/** Each client dialect with each backend dialect, through every outcome, each of them counted. */
+/**
+ * Each dialect of clients with each dialect of backends, through every outcome; each request leaves one syslog record.
+ */
 @RunWith(Parameterized.class)
 public class TranslationMatrixTest {
-    private static final String KEY = "x-api-key: k\r\n";
+    private static final String API_KEY = "x-api-key: k\r\n";
+    private static final int BUDGET_REQUESTS = 13;
+    private static final String DEADLINE_500_MS = "X-Deadline-Ms: 500\r\n";
+
     private final Dialect clientDialect;
     private final Dialect backendDialect;
+    private final DialectEvents clientEvents;
+    private final DialectEvents backendEvents;
     private final AtomicInteger openAttempts = new AtomicInteger();
-    private final List<String> syslogRecords = new ArrayList<>();
-    private DatagramSocket collector;
-    private FakeHttpServer fakeBackend;
+    private volatile FakeHttpServer.ResponseScript script;
+    private int loggedAttempts;
+    private SyslogCollector collector;
+    private FakeHttpServer backend;
     private ServerHarness harness;
 
-    public TranslationMatrixTest(Dialect client, Dialect backend) {
-        this.clientDialect = client;
-        this.backendDialect = backend;
+    public TranslationMatrixTest(Dialect clientDialect, Dialect backendDialect) {
+        this.clientDialect = clientDialect;
+        this.backendDialect = backendDialect;
+        this.clientEvents = new DialectEvents(clientDialect);
+        this.backendEvents = new DialectEvents(backendDialect);
     }
 
-    @Parameterized.Parameters(name = "{0} client, {1} target")
+    @Parameterized.Parameters(name = "{0} client, {1} backend")
     public static List<Object[]> dialectPairs() {
         List<Object[]> pairs = new ArrayList<>();
         for (Dialect client : Dialect.values()) {
@@ -55,268 +66,338 @@
         return pairs;
     }
 
-    private static String textEvent(Dialect dialect, String text) {
-        return dialect == Dialect.CHAT
-                ? "data: {\"choices\":[{\"delta\":{\"content\":\"" + text + "\"}}]}\n\n"
-                : "event: content_block_delta\ndata: {\"delta\":{\"type\":\"text_delta\",\"text\":\"" + text
-                        + "\"}}\n\n";
-    }
-
-    private static String startEvents(Dialect dialect) {
-        return dialect == Dialect.CHAT
-                ? ""
-                : "event: message_start\ndata: {\"message\":{\"id\":\"m\",\"model\":\"m\","
-                        + "\"usage\":{\"input_tokens\":4}}}\n\n";
-    }
-
-    private static String endEvents(Dialect dialect) {
-        return dialect == Dialect.CHAT
-                ? "data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
-                        + "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":4,\"completion_tokens\":3}}\n\ndata: [DONE]\n\n"
-                : "event: message_delta\ndata: {\"delta\":{\"stop_reason\":\"end_turn\"},\"usage\":{\"output_tokens\":3}}\n\n"
-                        + "event: message_stop\ndata: {\"type\":\"message_stop\"}\n\n";
+    @Before
+    public void startServer() throws Exception {
+        collector = new SyslogCollector();
+        backend = new FakeHttpServer(this::respond);
+        String hostType = backendDialect == Dialect.CHAT ? EndpointLists.CHAT_HOST : EndpointLists.MESSAGES_HOST;
+        String broker = "{\"listen\":\"127.0.0.1:0\",\"message-kinds\":[\"m\"],\"syslog\":{\"collector\":\""
+                + collector.address()
+                + "\"},\"teams\":[{\"name\":\"t\",\"key\":\"k\",\"classes\":[\"chat\",\"strict\"],"
+                + "\"models\":[\"m\"],\"deadline-ms\":3000,\"budget\":{\"requests\":" + BUDGET_REQUESTS
+                + ",\"tokens\":1000,\"window-ms\":60000}}]}";
+        harness = ServerHarness.withBroker(
+                ServerConfigJson.fixedList().endpoints(EndpointLists.endpoint(1, backend.address(), hostType, "ready")),
+                broker);
     }
 
-    private static String lastEvent(Dialect dialect) {
-        return dialect == Dialect.CHAT ? "data: [DONE]" : "event: message_stop";
+    @After
+    public void stopServer() throws IOException {
+        harness.close();
+        backend.close();
+        collector.close();
     }
 
-    private void respond(FakeHttpServer.Request request, Socket socket) throws Exception {
+    private void respond(FakeHttpServer.Request request, Socket connection) throws IOException, InterruptedException {
         openAttempts.incrementAndGet();
         try {
-            String first = responseHead(200, CHUNKED_ENCODING)
-                    + chunk(startEvents(backendDialect) + textEvent(backendDialect, "Hel"));
-            switch (request.requestId().replaceAll("-.*", "")) {
-                case "served" ->
-                    write(
-                            socket,
-                            first + chunk(textEvent(backendDialect, "lo") + endEvents(backendDialect)) + "0\r\n\r\n");
-                case "mixed" ->
-                    write(
-                            socket,
-                            responseHead(200, CHUNKED_ENCODING)
-                                    + chunk("event: sparkle\ndata: {}\n\n" + startEvents(backendDialect)
-                                            + textEvent(backendDialect, "Hel"))
-                                    + chunk("event: glitter\ndata: a\ndata: b\n\n" + textEvent(backendDialect, "lo")
-                                            + endEvents(backendDialect))
-                                    + "0\r\n\r\n");
-                case "whole" -> {
-                    String body = backendDialect == Dialect.CHAT
-                            ? "{\"choices\":[{\"message\":{\"content\":\"Hello\"}}]}"
-                            : "{\"type\":\"message\",\"content\":[{\"type\":\"text\",\"text\":\"Hello\"}]}";
-                    write(socket, responseHead(200, "Content-Length: " + body.length() + "\r\n") + body);
-                }
-                case "refused" -> write(socket, responseHead(503, NO_BODY, "X-Not-Run: 1\r\n"));
-                case "bad" ->
-                    write(
-                            socket,
-                            responseHead(400, "Content-Length: 43\r\n")
-                                    + "{\"error\":{\"message\":\"prompt is too long\"}} ");
-                case "failed" -> write(socket, responseHead(500, NO_BODY));
-                case "broken" -> {
-                    write(socket, first);
-                    socket.close();
-                }
-                case "half" -> {
-                    write(socket, first + chunk("data: {\"choi"));
-                    socket.close();
-                }
-                case "wholehalf" -> {
-                    write(socket, responseHead(200, "Content-Length: 50\r\n") + "{\"choices\":[");
-                    socket.close();
-                }
-                case "cut" -> write(socket, first + "0\r\n\r\n");
-                case "gone" -> {
-                    write(socket, first);
-                    socket.getInputStream().read();
-                }
-                default -> socket.getInputStream().read();
-            }
+            script.respond(request, connection);
         } finally {
             openAttempts.decrementAndGet();
         }
     }
 
-    @Before
-    public void start() throws Exception {
-        collector = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        collector.setSoTimeout(10_000);
-        fakeBackend = new FakeHttpServer(this::respond);
-        String broker = "{\"listen\":\"127.0.0.1:0\",\"message-kinds\":[\"m\"],\"syslog\":{\"collector\":\"127.0.0.1:"
-                + collector.getLocalPort()
-                + "\"},\"teams\":[{\"name\":\"t\",\"key\":\"k\",\"classes\":[\"chat\",\"strict\"],"
-                + "\"models\":[\"m\"],\"deadline-ms\":3000,\"budget\":{\"requests\":12,\"tokens\":1000,\"window-ms\":60000}}]}";
-        harness = new ServerHarness(
-                ServerHarness.configJson(
-                        "automatic",
-                        "127.0.0.1:1",
-                        ServerHarness.endpointJson(
-                                1, fakeBackend.address(), backendDialect == Dialect.CHAT ? "c" : "m", "ready")),
-                broker);
+    private void backendResponds(String response) {
+        script = (request, connection) -> write(connection, response);
     }
 
-    @After
-    public void stop() throws Exception {
-        harness.close();
-        fakeBackend.close();
-        collector.close();
+    private void backendRespondsAndCloses(String response) {
+        script = (request, connection) -> {
+            write(connection, response);
+            connection.close();
+        };
     }
 
-    private String request(String id, String... headers) {
-        boolean stream = !id.startsWith("whole");
-        return ServerHarness.postRequest(
+    private void backendRespondsAndHoldsOpen(String response) {
+        script = (request, connection) -> {
+            write(connection, response);
+            awaitClose(connection);
+        };
+    }
+
+    private String firstPart() {
+        return backendEvents.start() + backendEvents.text("Hel");
+    }
+
+    private String secondPart() {
+        return backendEvents.text("lo") + backendEvents.end();
+    }
+
+    private String streamRequest(String id, String... headers) {
+        return request(id, true, headers);
+    }
+
+    private String bodyRequest(String id) {
+        return request(id, false);
+    }
+
+    private String request(String id, boolean stream, String... headers) {
+        return post(
                 clientDialect.path(),
                 "{\"model\":\"m\",\"max_tokens\":9,\"stream\":" + stream
                         + ",\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}",
-                KEY + "X-Request-Id: " + id + "\r\nX-Class: strict\r\n" + "Connection: close\r\n"
+                API_KEY + "X-Request-Id: " + id + "\r\nX-Class: strict\r\n" + CLOSE_CONNECTION
                         + String.join("", headers));
     }
 
-    private String send(String id, String... headers) throws Exception {
-        return harness.exchange(1, request(id, headers));
+    /** Returns the events of a streamed response, without its chunks' sizes and ends. */
+    private static String events(String response) {
+        String body = response.substring(response.indexOf("\r\n\r\n") + 2).replaceAll("\r\n[0-9a-f]+\r\n", "");
+        return body.replaceAll("\r\n", "");
     }
 
-    /** The body without its chunk sizes. */
-    private static String body(String answer) {
-        return answer.substring(answer.indexOf("\r\n\r\n") + 2).replaceAll("\r\n[0-9a-f]+\r\n", "");
+    private boolean isTranslated() {
+        return clientDialect != backendDialect;
     }
 
-    private static String events(String answer) {
-        return body(answer).replaceAll("\r\n", "");
+    private void assertIncomplete(String response) {
+        assertFalse(response, response.contains("\r\n0\r\n") || response.contains(clientEvents.finalEvent()));
     }
 
-    private Map<String, Integer> receiveOutcomes(int records) throws Exception {
-        Map<String, Integer> ends = new ConcurrentHashMap<>();
-        for (int i = 0; i < records; i++) {
-            DatagramPacket packet = new DatagramPacket(new byte[3000], 3000);
-            collector.receive(packet);
-            String record = new String(packet.getData(), 0, packet.getLength(), StandardCharsets.UTF_8);
-            syslogRecords.add(record);
-            ends.merge(record.replaceAll("(?s).* end=\"([a-z]+)\".*", "$1"), 1, Integer::sum);
-        }
-        return ends;
+    /** Asserts that one more request was sent to the backend, and that its record names the outcome. */
+    private String assertOneAttemptLoggedAs(String outcome) throws IOException {
+        String record = collector.receive();
+        assertEquals(outcome, SyslogCollector.outcome(record));
+        loggedAttempts++;
+        assertEquals(loggedAttempts, backend.requests.size());
+        return record;
     }
 
     @Test
-    public void everyOutcomeIsTranslatedAndLogged() throws Exception {
-        String served = send("served-1");
-        assertTrue(served, served.startsWith("HTTP/1.1 200") && served.endsWith("0\r\n\r\n"));
-        assertTrue(served, served.contains("Hel") && served.contains(lastEvent(clientDialect)));
-
-        String mixed = send("mixed-1");
-        assertTrue(mixed, mixed.contains(lastEvent(clientDialect)));
-        assertEquals(
-                "unknown events pass only between speakers of one dialect",
-                clientDialect == backendDialect,
-                mixed.contains("sparkle"));
-        if (clientDialect != backendDialect) {
-            assertEquals(events(served), events(mixed));
+    public void streamIsServedInDialectOfClient() throws Exception {
+        backendResponds(stream(firstPart(), secondPart()));
+
+        String response = harness.exchangeWithBroker(streamRequest("served-1"));
+
+        assertTrue(response, response.startsWith("HTTP/1.1 200") && response.endsWith(LAST_CHUNK));
+        assertTrue(response, response.contains("Hel") && response.contains(clientEvents.finalEvent()));
+        String record = assertOneAttemptLoggedAs("served");
+        assertTrue(record, record.startsWith("<134>1 "));
+        assertTrue(record, record.contains(" [flow@32473 id=\"served-1\" team=\"t\""));
+        assertTrue(record, record.contains("tokens=\"7\""));
+    }
+
+    @Test
+    public void unrecognizedEventsAreForwardedOnlyWithinOneDialect() throws Exception {
+        backendResponds(stream(firstPart(), secondPart()));
+        String expected = harness.exchangeWithBroker(streamRequest("plain"));
+        assertOneAttemptLoggedAs("served");
+        backendResponds(stream(
+                "event: sparkle\ndata: {}\n\n" + firstPart(), "event: glitter\ndata: a\ndata: b\n\n" + secondPart()));
+
+        String response = harness.exchangeWithBroker(streamRequest("mixed"));
+
+        assertTrue(response, response.contains(clientEvents.finalEvent()));
+        assertEquals(!isTranslated(), response.contains("sparkle"));
+        if (isTranslated()) {
+            assertEquals(events(expected), events(response));
         } else {
-            assertTrue(
-                    served,
-                    events(served)
-                            .contains(textEvent(backendDialect, "Hel")
-                                    + textEvent(backendDialect, "lo")
-                                    + endEvents(backendDialect)));
+            String content = backendEvents.text("Hel") + backendEvents.text("lo") + backendEvents.end();
+            assertTrue(expected, events(expected).contains(content));
         }
+        String record = assertOneAttemptLoggedAs("served");
+        assertTrue(record, record.contains("skipped=\"2\""));
+    }
+
+    @Test
+    public void bodyIsServedInDialectOfClient() throws Exception {
+        String body = backendEvents.body();
+        backendResponds(responseHead(200, "Content-Length: " + body.length() + "\r\n") + body);
 
-        String whole = send("whole-1");
-        assertTrue(whole, whole.contains("application/json") && whole.contains("Hello"));
-        assertEquals(whole, clientDialect == Dialect.CHAT, whole.contains("\"choices\""));
+        String response = harness.exchangeWithBroker(bodyRequest("body"));
 
-        Object[][] fixed = {
-            {"refused-1", "503", "overloaded_error", true},
-            {"failed-1", "502", "api_error", false},
-            {"silent-1", "504", "timeout_error", false}
-        };
-        for (Object[] row : fixed) {
-            String answer = send((String) row[0], "X-Deadline-Ms: 500\r\n");
-            assertTrue(answer, answer.startsWith("HTTP/1.1 " + row[1]) && answer.contains("\"" + row[2] + "\""));
-            assertEquals(answer, row[3], answer.contains("Retry-After: "));
-            assertEquals(answer, clientDialect == Dialect.MESSAGES, answer.contains("{\"type\":\"error\""));
-        }
+        assertTrue(response, response.contains("application/json") && response.contains("Hello"));
+        assertEquals(response, clientDialect == Dialect.CHAT, response.contains("\"choices\""));
+        assertOneAttemptLoggedAs("served");
+    }
 
-        String bad = send("bad-1");
-        assertTrue(bad, bad.startsWith("HTTP/1.1 400") && bad.contains("prompt is too long"));
-        assertTrue(bad, clientDialect == backendDialect || bad.contains("invalid_request_error"));
-
-        String broken = send("broken-1");
-        assertTrue(broken, broken.contains("Hel"));
-        assertFalse(broken, broken.contains("\r\n0\r\n") || broken.contains(lastEvent(clientDialect)));
-        assertEquals(broken, clientDialect == Dialect.MESSAGES ? 1 : 0, broken.split("event: error\n", -1).length - 1);
-        assertTrue(
-                broken,
-                broken.contains("data: {" + (clientDialect == Dialect.MESSAGES ? "\"type\":\"error\"," : "")
-                        + "\"error\":{\"type\":\"api_error\""));
-        String half = send("half-1");
-        assertEquals(
-                "behind half an event no other is put", clientDialect != backendDialect, half.contains("\"error\":{"));
-        assertFalse(half, half.contains("\r\n0\r\n") || half.contains(lastEvent(clientDialect)));
-        String wholeHalf = send("wholehalf-1");
-        assertTrue(wholeHalf, wholeHalf.startsWith("HTTP/1.1 502") && !wholeHalf.contains("choices"));
-        String cut = send("cut-1");
-        // The framing's end is not the answer's: without its last event it is no answer.
-        assertFalse(cut, cut.contains("\r\n0\r\n") || cut.contains(lastEvent(clientDialect)));
-        assertTrue(cut, cut.contains("the answer broke off (cut-short-midway)"));
-
-        try (Socket socket = harness.connect(1)) {
-            write(socket, request("gone-1"));
-            String line = "";
-            while (!line.contains("Hel")) {
-                line = FakeHttpServer.readLine(socket.getInputStream());
-            }
+    private void assertError(String response, int status, String type) {
+        assertTrue(response, response.startsWith("HTTP/1.1 " + status) && response.contains("\"" + type + "\""));
+        assertEquals(response, clientDialect == Dialect.MESSAGES, response.contains("{\"type\":\"error\""));
+    }
+
+    @Test
+    public void rejectionByBackendIsOverloadErrorWithRetryAfter() throws Exception {
+        backendResponds(status(503, NOT_RUN));
+
+        String response = harness.exchangeWithBroker(streamRequest("rejected", DEADLINE_500_MS));
+
+        assertError(response, 503, "overloaded_error");
+        assertTrue(response, response.contains("Retry-After: "));
+        assertOneAttemptLoggedAs("refused");
+    }
+
+    @Test
+    public void failureOfBackendIsApiErrorWithoutRetryAfter() throws Exception {
+        backendResponds(status(500));
+
+        String response = harness.exchangeWithBroker(streamRequest("failed", DEADLINE_500_MS));
+
+        assertError(response, 502, "api_error");
+        assertFalse(response, response.contains("Retry-After: "));
+        assertOneAttemptLoggedAs("failed");
+    }
+
+    @Test
+    public void silenceOfBackendIsTimeoutErrorWithoutRetryAfter() throws Exception {
+        script = (request, connection) -> awaitClose(connection);
+
+        String response = harness.exchangeWithBroker(streamRequest("silent", DEADLINE_500_MS));
+
+        assertError(response, 504, "timeout_error");
+        assertFalse(response, response.contains("Retry-After: "));
+        assertOneAttemptLoggedAs("failed");
+    }
+
+    @Test
+    public void clientErrorOfBackendKeepsItsMessage() throws Exception {
+        String error = "{\"error\":{\"message\":\"prompt is too long\"}} ";
+        backendResponds(responseHead(400, "Content-Length: " + error.length() + "\r\n") + error);
+
+        String response = harness.exchangeWithBroker(streamRequest("bad"));
+
+        assertTrue(response, response.startsWith("HTTP/1.1 400") && response.contains("prompt is too long"));
+        assertTrue(response, !isTranslated() || response.contains("invalid_request_error"));
+        assertOneAttemptLoggedAs("rejected");
+    }
+
+    @Test
+    public void brokenStreamEndsWithErrorEvent() throws Exception {
+        backendRespondsAndCloses(openStream(firstPart()));
+
+        String response = harness.exchangeWithBroker(streamRequest("broken"));
+
+        assertTrue(response, response.contains("Hel"));
+        assertIncomplete(response);
+        boolean isMessages = clientDialect == Dialect.MESSAGES;
+        assertEquals(response, isMessages ? 1 : 0, response.split("event: error\n", -1).length - 1);
+        String error = "data: {" + (isMessages ? "\"type\":\"error\"," : "") + "\"error\":{\"type\":\"api_error\"";
+        assertTrue(response, response.contains(error));
+        assertOneAttemptLoggedAs("broken");
+    }
+
+    /** Behind half an event, an error event would be read as the rest of it. */
+    @Test
+    public void streamBrokenWithinForwardedEventEndsWithoutErrorEvent() throws Exception {
+        backendRespondsAndCloses(openStream(firstPart(), "data: {\"choi"));
+
+        String response = harness.exchangeWithBroker(streamRequest("half"));
+
+        assertEquals(response, isTranslated(), response.contains("\"error\":{"));
+        assertIncomplete(response);
+        assertOneAttemptLoggedAs("broken");
+    }
+
+    @Test
+    public void truncatedBodyIsError() throws Exception {
+        backendRespondsAndCloses(responseHead(200, "Content-Length: 50\r\n") + "{\"choices\":[");
+
+        String response = harness.exchangeWithBroker(bodyRequest("truncated"));
+
+        assertTrue(response, response.startsWith("HTTP/1.1 502") && !response.contains("choices"));
+        assertOneAttemptLoggedAs("failed");
+    }
+
+    /** The end of the framing is not the end of the response: without its final event it is incomplete. */
+    @Test
+    public void streamWithoutFinalEventIsIncomplete() throws Exception {
+        backendResponds(stream(firstPart()));
+
+        String response = harness.exchangeWithBroker(streamRequest("cut"));
+
+        assertIncomplete(response);
+        assertTrue(response, response.contains("the answer broke off (cut-short-midway)"));
+        assertOneAttemptLoggedAs("broken");
+    }
+
+    @Test
+    public void disconnectOfClientCancelsAttempt() throws Exception {
+        backendRespondsAndHoldsOpen(openStream(firstPart()));
+
+        try (Socket client = harness.connectToBroker()) {
+            write(client, streamRequest("gone"));
+            waitUntil(
+                    "first part received",
+                    () -> FakeHttpServer.readLine(client.getInputStream()).contains("Hel"));
         }
-        waitUntil("no forward is left out", () -> openAttempts.get() == 0 && harness.server.openRequests() == 0);
 
-        assertEquals(
-                Map.of("served", 3, "refused", 1, "failed", 3, "broken", 3, "gone", 1, "rejected", 1),
-                receiveOutcomes(12));
-        assertEquals(12, fakeBackend.requests.size());
-        assertTrue(
-                syslogRecords.get(0),
-                syslogRecords.get(0).startsWith("<134>1 ")
-                        && syslogRecords.get(0).contains(" [flow@32473 id=\"served-1\" team=\"t\"")
-                        && syslogRecords.get(0).contains("tokens=\"7\""));
-        assertTrue(syslogRecords.get(1), syslogRecords.get(1).contains("skipped=\"2\""));
+        waitUntil("no attempt is open", () -> openAttempts.get() == 0 && harness.server.openRequests() == 0);
+        assertOneAttemptLoggedAs("gone");
     }
 
+    /** One server with one backend goes through all outcomes: none of them keeps later requests from the backend. */
     @Test
-    public void requestOutsideContractOrBudgetIsRejectedBeforeAnyAttempt() throws Exception {
-        String body = request("x");
-        String[][] cases = {
-            {body.replace(KEY, ""), "401", "authentication_error"},
-            {body.replace(KEY, "x-api-key: wrong\r\n"), "401", "no team"},
-            {body.replace("\"m\",", "\"n\","), "403", "permission_error"},
-            {body.replace("strict", "other"), "403", "class"},
-            {body.replace("hi", "\\x"), "400", "JSON"},
-            {body.replace("s\":9", "s\":9999"), "400", "budget"},
-            {body.replace("POST " + clientDialect.path(), "POST /v1/other"), "404", "not_found_error"},
-            {body.replace("POST", "PUT"), "405", "POST"},
-            {
-                ServerHarness.postRequest(clientDialect.path(), "x".repeat(300_000), KEY + "Connection: close\r\n"),
-                "413",
-                "request_too_large"
-            },
-        };
-        for (String[] row : cases) {
-            String length = row[0].contains("PUT")
-                    ? row[0]
-                    : row[0].replaceFirst(
-                            "Content-Length: \\d+",
-                            "Content-Length: "
-                                    + row[0].substring(row[0].indexOf("\r\n\r\n") + 4)
-                                            .length());
-            String answer = harness.exchange(1, length);
-            assertTrue(row[0] + answer, answer.startsWith("HTTP/1.1 " + row[1]) && answer.contains(row[2]));
+    public void outcomesDoNotAffectLaterRequests() throws Exception {
+        streamIsServedInDialectOfClient();
+        unrecognizedEventsAreForwardedOnlyWithinOneDialect();
+        bodyIsServedInDialectOfClient();
+        rejectionByBackendIsOverloadErrorWithRetryAfter();
+        failureOfBackendIsApiErrorWithoutRetryAfter();
+        silenceOfBackendIsTimeoutErrorWithoutRetryAfter();
+        clientErrorOfBackendKeepsItsMessage();
+        brokenStreamEndsWithErrorEvent();
+        streamBrokenWithinForwardedEventEndsWithoutErrorEvent();
+        truncatedBodyIsError();
+        streamWithoutFinalEventIsIncomplete();
+        disconnectOfClientCancelsAttempt();
+    }
+
+    /** A request, and the status and a word of its rejection. */
+    private record Rejection(String request, int status, String expectedWord) {}
+
+    private List<Rejection> rejections() {
+        String valid = streamRequest("x");
+        return List.of(
+                new Rejection(valid.replace(API_KEY, ""), 401, "authentication_error"),
+                new Rejection(valid.replace(API_KEY, "x-api-key: wrong\r\n"), 401, "no team"),
+                new Rejection(valid.replace("\"m\",", "\"n\","), 403, "permission_error"),
+                new Rejection(valid.replace("strict", "other"), 403, "class"),
+                new Rejection(valid.replace("hi", "\\x"), 400, "JSON"),
+                new Rejection(withContentLength(valid.replace("s\":9", "s\":9999")), 400, "budget"),
+                new Rejection(valid.replace("POST " + clientDialect.path(), "POST /v1/other"), 404, "not_found_error"),
+                new Rejection(valid.replace("POST", "PUT"), 405, "POST"),
+                new Rejection(
+                        post(clientDialect.path(), "x".repeat(300_000), API_KEY + CLOSE_CONNECTION),
+                        413,
+                        "request_too_large"));
+    }
+
+    /** Corrects the length of a request whose body was changed. */
+    private static String withContentLength(String request) {
+        int bodyLength = request.length() - (request.indexOf("\r\n\r\n") + 4);
+        return request.replaceFirst("Content-Length: \\d+", "Content-Length: " + bodyLength);
+    }
+
+    private void assertRejectionsBeforeAnyAttempt() throws IOException {
+        for (Rejection rejection : rejections()) {
+            String response = harness.exchangeWithBroker(rejection.request());
+
+            String description = rejection.request() + response;
+            assertTrue(description, response.startsWith("HTTP/1.1 " + rejection.status()));
+            assertTrue(description, response.contains(rejection.expectedWord()));
         }
-        assertEquals(0, fakeBackend.requests.size());
-        for (int i = 0; i < 12; i++) {
-            send("served-" + i);
+        assertEquals(0, backend.requests.size());
+        assertEquals(Map.of("rejected", 9), collector.receiveOutcomes(9));
+    }
+
+    @Test
+    public void requestOutsideContractIsRejectedBeforeAnyAttempt() throws Exception {
+        assertRejectionsBeforeAnyAttempt();
+    }
+
+    @Test
+    public void requestOverBudgetIsRejectedAndRejectionsAreNotCharged() throws Exception {
+        backendResponds(stream(firstPart(), secondPart()));
+        assertRejectionsBeforeAnyAttempt();
+
+        for (int i = 0; i < BUDGET_REQUESTS; i++) {
+            harness.exchangeWithBroker(streamRequest("served-" + i));
         }
-        String over = send("served-over");
-        assertTrue(over, over.startsWith("HTTP/1.1 429") && over.contains("rate_limit_error"));
-        assertTrue(over, over.matches("(?s).*Retry-After: [1-5]?[0-9](\\.[0-9]+)?\r\n.*"));
-        assertEquals(12, fakeBackend.requests.size());
-        assertEquals(Map.of("rejected", 10, "served", 12), receiveOutcomes(22));
+        String response = harness.exchangeWithBroker(streamRequest("over"));
+
+        assertTrue(response, response.startsWith("HTTP/1.1 429") && response.contains("rate_limit_error"));
+        assertTrue(response, response.matches("(?s).*Retry-After: [1-5]?[0-9](\\.[0-9]+)?\r\n.*"));
+        assertEquals(BUDGET_REQUESTS, backend.requests.size());
+        assertEquals(Map.of("served", BUDGET_REQUESTS, "rejected", 1), collector.receiveOutcomes(BUDGET_REQUESTS + 1));
     }
 }
