--- a/node/src/main/java/fawnlb/backend/BufferedBody.java
+++ b/node/src/main/java/fawnlb/backend/BufferedBody.java
@@ -1,6 +1,6 @@
 package fawnlb.backend;
 
-import fawnlb.translation.MalformedResponseException;
+import fawnlb.translation.MalformedResponseBodyException;
 import fawnlb.translation.ResponseTranslator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -25,7 +25,7 @@
     ByteBuffer feed(ByteBuffer bytes) throws IOException {
         inspect(bytes);
         if (buffer.size() + bytes.remaining() > MAX_BUFFERED_RESPONSE_BYTES) {
-            throw new MalformedResponseException("answer longer than " + MAX_BUFFERED_RESPONSE_BYTES + " bytes");
+            throw new MalformedResponseBodyException("answer longer than " + MAX_BUFFERED_RESPONSE_BYTES + " bytes");
         }
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
--- a/node/src/main/java/fawnlb/backend/StreamedBody.java
+++ b/node/src/main/java/fawnlb/backend/StreamedBody.java
@@ -2,7 +2,7 @@
 
 import fawnlb.translation.Dialect;
 import fawnlb.translation.FirstEventBuffer;
-import fawnlb.translation.MalformedResponseException;
+import fawnlb.translation.MalformedResponseBodyException;
 import fawnlb.translation.ResponseTranslator;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -29,7 +29,7 @@
     @Override
     ByteBuffer finish() throws IOException {
         if (!tail.hasLastEvent(dialect)) {
-            throw new MalformedResponseException("the answer has no last event");
+            throw new MalformedResponseBodyException("the answer has no last event");
         }
         return empty();
     }
--- a/node/src/main/java/fawnlb/translation/ChatResponseDecoder.java
+++ b/node/src/main/java/fawnlb/translation/ChatResponseDecoder.java
@@ -69,7 +69,7 @@
     public List<ResponseDelta> decodeBody(byte[] body) throws IOException {
         FlatJson json = FlatJson.parse(body);
         if (json.arraySize("choices") == 0) {
-            throw new MalformedResponseException("not a chat completion");
+            throw new MalformedResponseBodyException("not a chat completion");
         }
         List<ResponseDelta> deltas = new ArrayList<>();
         addStart(json, deltas);
--- a/node/src/main/java/fawnlb/translation/FirstEventBuffer.java
+++ b/node/src/main/java/fawnlb/translation/FirstEventBuffer.java
@@ -19,12 +19,12 @@
      *     as given
      * @throws MalformedResponseException if the first event exceeds the size limit for events
      */
-    public ByteBuffer feed(ByteBuffer bytes) throws MalformedResponseException {
+    public ByteBuffer feed(ByteBuffer bytes) throws MalformedResponseBodyException {
         if (pending == null) {
             return bytes;
         }
         if (pending.size() + bytes.remaining() > SseParser.MAX_EVENT_BYTES) {
-            throw new MalformedResponseException("no event in " + SseParser.MAX_EVENT_BYTES + " bytes");
+            throw new MalformedResponseBodyException("no event in " + SseParser.MAX_EVENT_BYTES + " bytes");
         }
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
--- a/node/src/main/java/fawnlb/translation/MalformedResponseException.java
+++ b/node/src/main/java/fawnlb/translation/MalformedResponseBodyException.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** A backend's response violates its dialect, ends before its final event or exceeds a size limit. */
-public final class MalformedResponseException extends IOException {
+public final class MalformedResponseBodyException extends IOException {
     private static final long serialVersionUID = 1;
 
-    public MalformedResponseException(String message) {
+    public MalformedResponseBodyException(String message) {
         super(message);
     }
 }
--- a/node/src/main/java/fawnlb/translation/MessagesResponseDecoder.java
+++ b/node/src/main/java/fawnlb/translation/MessagesResponseDecoder.java
@@ -83,7 +83,7 @@
     public List<ResponseDelta> decodeBody(byte[] body) throws IOException {
         FlatJson json = FlatJson.parse(body);
         if (!json.text("type", "").equals("message")) {
-            throw new MalformedResponseException("not a message");
+            throw new MalformedResponseBodyException("not a message");
         }
         List<ResponseDelta> deltas = new ArrayList<>();
         recordUsage(json, "usage");
--- a/node/src/main/java/fawnlb/translation/ResponseBody.java
+++ b/node/src/main/java/fawnlb/translation/ResponseBody.java
@@ -9,9 +9,9 @@
 
     private final ByteArrayOutputStream collected = new ByteArrayOutputStream();
 
-    void add(ByteBuffer bytes) throws MalformedResponseException {
+    void add(ByteBuffer bytes) throws MalformedResponseBodyException {
         if (collected.size() + bytes.remaining() > MAX_BYTES) {
-            throw new MalformedResponseException("answer longer than " + MAX_BYTES + " bytes");
+            throw new MalformedResponseBodyException("answer longer than " + MAX_BYTES + " bytes");
         }
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
--- a/node/src/main/java/fawnlb/translation/SseParser.java
+++ b/node/src/main/java/fawnlb/translation/SseParser.java
@@ -35,7 +35,7 @@
      * @return the events that they complete
      * @throws MalformedResponseException if an event exceeds {@link #MAX_EVENT_BYTES}
      */
-    List<Event> feed(ByteBuffer bytes) throws MalformedResponseException {
+    List<Event> feed(ByteBuffer bytes) throws MalformedResponseBodyException {
         completed.clear();
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
@@ -54,10 +54,10 @@
         return List.copyOf(completed);
     }
 
-    private void addToLine(byte next) throws MalformedResponseException {
+    private void addToLine(byte next) throws MalformedResponseBodyException {
         currentLine.write(next);
         if (++eventBytes > MAX_EVENT_BYTES) {
-            throw new MalformedResponseException("event longer than " + MAX_EVENT_BYTES + " bytes");
+            throw new MalformedResponseBodyException("event longer than " + MAX_EVENT_BYTES + " bytes");
         }
     }
 
--- a/node/src/main/java/fawnlb/translation/StreamTranslator.java
+++ b/node/src/main/java/fawnlb/translation/StreamTranslator.java
@@ -40,7 +40,7 @@
     @Override
     public ByteBuffer finish() throws IOException {
         if (!ended) {
-            throw new MalformedResponseException("the answer has no last event");
+            throw new MalformedResponseBodyException("the answer has no last event");
         }
         return ByteBuffer.allocate(0);
     }
--- a/node/src/test/java/fawnlb/backend/RelayedBodyTest.java
+++ b/node/src/test/java/fawnlb/backend/RelayedBodyTest.java
@@ -7,7 +7,7 @@
 
 import fawnlb.backend.OutboundRequest.ResponseSummary;
 import fawnlb.translation.Dialect;
-import fawnlb.translation.MalformedResponseException;
+import fawnlb.translation.MalformedResponseBodyException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -94,7 +94,7 @@
         RelayedBody body = answer(streamedRequest(Dialect.CHAT));
         feed(body, EVENT);
 
-        assertThrows(MalformedResponseException.class, body::finish);
+        assertThrows(MalformedResponseBodyException.class, body::finish);
     }
 
     // ---- Responses in one piece ----------------------------------------------------------------------------
@@ -123,7 +123,7 @@
         RelayedBody body = answer(wholeRequest());
         feed(body, "x".repeat(MAX_BUFFERED_BYTES));
 
-        assertThrows(MalformedResponseException.class, () -> feed(body, "x"));
+        assertThrows(MalformedResponseBodyException.class, () -> feed(body, "x"));
     }
 
     // ---- Translation ---------------------------------------------------------------------------------------
--- a/node/src/test/java/fawnlb/translation/FirstEventBufferTest.java
+++ b/node/src/test/java/fawnlb/translation/FirstEventBufferTest.java
@@ -71,6 +71,6 @@
             buffer.feed(bytes(":" + "x".repeat(1021) + "\n\n"));
         }
 
-        assertThrows(MalformedResponseException.class, () -> buffer.feed(bytes(":\n\n")));
+        assertThrows(MalformedResponseBodyException.class, () -> buffer.feed(bytes(":\n\n")));
     }
 }
--- a/node/src/test/java/fawnlb/translation/ResponseTranslatorTest.java
+++ b/node/src/test/java/fawnlb/translation/ResponseTranslatorTest.java
@@ -135,7 +135,7 @@
                 String translated = translate(translator, stream.text().substring(0, end), 50);
 
                 assertFalse(translated, translated.contains("message_stop") || translated.contains("[DONE]"));
-                assertThrows(MalformedResponseException.class, translator::finish);
+                assertThrows(MalformedResponseBodyException.class, translator::finish);
             }
         }
     }
@@ -154,7 +154,7 @@
             String translated = translate(translator, error.text(), 100);
 
             assertContains(translated, "overloaded_error");
-            assertThrows(MalformedResponseException.class, translator::finish);
+            assertThrows(MalformedResponseBodyException.class, translator::finish);
         }
     }
 
--- a/node/src/test/java/fawnlb/translation/SseParserTest.java
+++ b/node/src/test/java/fawnlb/translation/SseParserTest.java
@@ -64,6 +64,6 @@
     public void eventBeyondSizeLimitIsRejected() {
         ByteBuffer endless = ByteBuffer.wrap(new byte[300_000]);
 
-        assertThrows(MalformedResponseException.class, () -> new SseParser().feed(endless));
+        assertThrows(MalformedResponseBodyException.class, () -> new SseParser().feed(endless));
     }
 }
