--- a/node/src/main/java/fawnlb/contract/Budget.java
+++ b/node/src/main/java/fawnlb/contract/Budget.java
@@ -50,7 +50,7 @@
         usedTokens = 0;
     }
 
-    /** Returns whether a request of so many tokens fits into an unused window. */
+    /** Returns whether a request with this number of tokens fits into an unused window. */
     public boolean fitsWindow(long tokens) {
         return maxRequests > 0 && tokens <= maxTokens;
     }
--- a/node/src/main/java/fawnlb/messages/RequestEnd.java
+++ b/node/src/main/java/fawnlb/messages/RequestEnd.java
@@ -10,7 +10,7 @@
  * @param outcome the word for the outcome in the record
  * @param status the HTTP status that the client got, 0 if it got none
  * @param cause the end of the last attempt, null if there was none or if it succeeded
- * @param response what the backend's response told of itself, null if no attempt was made
+ * @param response what is known of the backend's response, null if no attempt was made
  */
 record RequestEnd(String outcome, int status, AttemptEnd cause, ResponseSummary response) {
     /** The request was found invalid or not allowed, by this process or by a backend. */
--- a/node/src/main/java/fawnlb/translation/FinishReason.java
+++ b/node/src/main/java/fawnlb/translation/FinishReason.java
@@ -5,7 +5,7 @@
     static final String END_TURN = "end_turn";
     private static final String MAX_TOKENS = "max_tokens";
     private static final String TOOL_USE = "tool_use";
-    private static final String REFUSAL = "refusal";
+    private static final String CONTENT_FILTERED = "refusal";
 
     private FinishReason() {}
 
@@ -14,7 +14,7 @@
         return switch (finishReason) {
             case "length" -> MAX_TOKENS;
             case "tool_calls" -> TOOL_USE;
-            case "content_filter" -> REFUSAL;
+            case "content_filter" -> CONTENT_FILTERED;
             default -> END_TURN;
         };
     }
@@ -24,7 +24,7 @@
         return switch (reason) {
             case MAX_TOKENS -> "length";
             case TOOL_USE -> "tool_calls";
-            case REFUSAL -> "content_filter";
+            case CONTENT_FILTERED -> "content_filter";
             default -> "stop";
         };
     }
--- a/node/src/main/java/fawnlb/translation/FirstEventBuffer.java
+++ b/node/src/main/java/fawnlb/translation/FirstEventBuffer.java
@@ -4,8 +4,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Withholds the beginning of a stream until its first event is complete. A backend that fails before that has sent the
- * client nothing, so that the request can be retried on another backend.
+ * Withholds the first bytes of a stream until its first event is complete. A backend that fails before that has sent
+ * the client nothing, so that the request can be retried on another backend.
  */
 public final class FirstEventBuffer {
     private final SseParser parser = new SseParser();
--- a/node/src/test/java/fawnlb/contract/BudgetTest.java
+++ b/node/src/test/java/fawnlb/contract/BudgetTest.java
@@ -11,7 +11,7 @@
 public class BudgetTest {
     private static final long WINDOW_NANOS = 60;
 
-    /** A request at a time, and how long it is told to wait. */
+    /** A request at a time, and how long it must wait. */
     private record Request(long atNanos, long tokens, long expectedWaitNanos) {}
 
     @Test
--- a/node/src/test/java/fawnlb/server/FleetSizeIT.java
+++ b/node/src/test/java/fawnlb/server/FleetSizeIT.java
@@ -78,7 +78,7 @@
         servedIds.add(id);
     }
 
-    /** Sends the requests of one release, and in the midst of them the list of the next one. */
+    /** Sends the requests of one release, and the next release's endpoint list halfway through. */
     private void serveRelease(int port, int release, FakeHttpServer backend) throws IOException {
         for (int i = 0; i < REQUESTS_PER_RELEASE; i++) {
             assertServed(port, "r" + release + "-" + i);
--- a/node/src/test/java/fawnlb/server/SyslogCollector.java
+++ b/node/src/test/java/fawnlb/server/SyslogCollector.java
@@ -31,7 +31,7 @@
         return new String(packet.getData(), 0, packet.getLength(), StandardCharsets.UTF_8);
     }
 
-    /** Waits for so many records and counts them by their outcome. */
+    /** Waits for this number of records and counts them by their outcome. */
     Map<String, Integer> receiveOutcomes(int records) throws IOException {
         Map<String, Integer> outcomes = new TreeMap<>();
         for (int i = 0; i < records; i++) {
