--- a/node/src/main/java/fawnlb/contract/Budget.java
+++ b/node/src/main/java/fawnlb/contract/Budget.java
@@ -14,6 +14,7 @@
     private long usedRequests;
     private long usedTokens;
 
+    /** Creates a budget whose first window has not started; all limits are for one window. */
     public Budget(long maxRequests, long maxTokens, long windowNanos) {
         this.maxRequests = maxRequests;
         this.maxTokens = maxTokens;
@@ -26,6 +27,7 @@
      * @param waitNanos 0 if the request was admitted; otherwise the time until the window ends, and nothing is held
      */
     public record Reservation(long reservedAtNanos, long tokens, long waitNanos) {
+        /** Returns whether the request may be forwarded now. */
         public boolean isGranted() {
             return waitNanos == 0;
         }
--- a/node/src/main/java/fawnlb/messages/RequestLog.java
+++ b/node/src/main/java/fawnlb/messages/RequestLog.java
@@ -24,6 +24,7 @@
     private final SyslogFormatter formatter;
     private final SyslogSender sender;
 
+    /** Creates a log that writes to a collector. */
     public RequestLog(SyslogFormatter formatter, SyslogSender sender) {
         this.formatter = formatter;
         this.sender = sender;
--- a/node/src/main/java/fawnlb/syslog/SyslogFormatter.java
+++ b/node/src/main/java/fawnlb/syslog/SyslogFormatter.java
@@ -30,6 +30,11 @@
     private final String applicationName;
     private final String processId;
 
+    /**
+     * Creates a formatter for the records of one process.
+     *
+     * @param facility the facility's numerical code (RFC 5424, section 6.2.1)
+     */
     public SyslogFormatter(int facility, String hostName, String applicationName, String processId) {
         this.facility = facility;
         this.hostName = headerField(hostName, MAX_HOST_NAME_LENGTH);
--- a/node/src/main/java/fawnlb/translation/MalformedResponseBodyException.java
+++ b/node/src/main/java/fawnlb/translation/MalformedResponseBodyException.java
@@ -6,6 +6,7 @@
 public final class MalformedResponseBodyException extends IOException {
     private static final long serialVersionUID = 1;
 
+    /** Creates an exception; the message says what is wrong and reaches the log alone. */
     public MalformedResponseBodyException(String message) {
         super(message);
     }
--- a/node/src/test/java/fawnlb/server/StartWithoutDiscoveryTest.java
+++ b/node/src/test/java/fawnlb/server/StartWithoutDiscoveryTest.java
@@ -24,7 +24,7 @@
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Arrays;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -61,13 +61,11 @@
 
     private void writeSnapshot(String... addresses) throws IOException {
         long now = System.currentTimeMillis();
-        DiscoveredEndpoint[] endpoints = new DiscoveredEndpoint[addresses.length];
-        for (int i = 0; i < addresses.length; i++) {
-            endpoints[i] = endpoint(i + 1, addresses[i]);
+        List<Snapshot.Entry> entries = new ArrayList<>();
+        for (String address : addresses) {
+            DiscoveredEndpoint endpoint = endpoint(entries.size() + 1, address);
+            entries.add(new Snapshot.Entry(endpoint, now, now));
         }
-        List<Snapshot.Entry> entries = Arrays.stream(endpoints)
-                .map(endpoint -> new Snapshot.Entry(endpoint, now, now))
-                .toList();
         new SnapshotStore(snapshotFile).write(new Snapshot(now, 99, entries));
     }
 
--- a/node/src/test/java/fawnlb/server/TranslationMatrixTest.java
+++ b/node/src/test/java/fawnlb/server/TranslationMatrixTest.java
@@ -20,6 +20,7 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.After;
@@ -177,6 +178,36 @@
         assertTrue(record, record.contains("tokens=\"7\""));
     }
 
+    /** Collectors match on these names and on their order. */
+    @Test
+    public void syslogRecordHasAllFieldsInOrder() throws Exception {
+        backendResponds(stream(firstPart(), secondPart()));
+
+        harness.exchangeWithBroker(streamRequest("served-1"));
+
+        String record = assertOneAttemptLoggedAs("served");
+        String fields = "id=\"served-1\" team=\"t\" class=\"strict\" model=\"m\" client=\"" + word(clientDialect)
+                + "\" target=\"" + word(backendDialect)
+                + "\" skipped=\"0\" tokens=\"7\" end=\"served\" status=\"200\" ms=\"[0-9]+\" dropped=\"0\"";
+        String header = "<134>1 [0-9T:.-]+Z 127\\.0\\.0\\.1 fawnlb [0-9]+ FLOW ";
+        assertTrue(record, record.matches(header + "\\[flow@32473 " + fields + "\\] flow served"));
+    }
+
+    @Test
+    public void syslogRecordOfBrokenStreamNamesCauseAndSeverity() throws Exception {
+        backendRespondsAndCloses(openStream(firstPart()));
+
+        harness.exchangeWithBroker(streamRequest("broken"));
+
+        String record = assertOneAttemptLoggedAs("broken");
+        assertTrue(record, record.startsWith("<133>1 "));
+        assertTrue(record, record.matches(".* end=\"broken\" cause=\"[a-z-]+\" status=\"200\" .*"));
+    }
+
+    private static String word(Dialect dialect) {
+        return dialect.name().toLowerCase(Locale.ROOT);
+    }
+
     @Test
     public void unrecognizedEventsAreForwardedOnlyWithinOneDialect() throws Exception {
         backendResponds(stream(firstPart(), secondPart()));
