--- a/node/src/test/java/fawnlb/server/LogWriterTest.java
+++ b/node/src/test/java/fawnlb/server/LogWriterTest.java
@@ -12,7 +12,7 @@
 import org.junit.Test;
 
 public class LogWriterTest {
-    /** A handler whose reader has gone away until it is let go on. */
+    /** A handler that blocks its thread until it is released, like a pipe that nobody reads. */
     private static final class BlockedHandler extends Handler {
         final CountDownLatch reached = new CountDownLatch(1);
         final CountDownLatch released = new CountDownLatch(1);
@@ -38,20 +38,22 @@
 
     @Test
     public void fullQueueDropsAndCountsLinesWithoutBlocking() throws Exception {
+        int droppedLines = 5;
         BlockedHandler handler = new BlockedHandler();
         LogWriter log = new LogWriter(handler);
         log.publish(new LogRecord(Level.INFO, "first"));
         handler.reached.await();
-        for (int i = 0; i < LogWriter.QUEUE_CAPACITY + 5; i++) {
+
+        for (int i = 0; i < LogWriter.QUEUE_CAPACITY + droppedLines; i++) {
             log.publish(new LogRecord(Level.INFO, "line " + i));
         }
         log.awaitWritten(20);
-        assertEquals(List.of(), handler.lines);
+        assertEquals("the handler is still blocked", List.of(), handler.lines);
         handler.released.countDown();
+
         Await.waitUntil("all written", () -> handler.lines.size() == LogWriter.QUEUE_CAPACITY + 2);
         assertEquals("first", handler.lines.get(0));
-        assertTrue(
-                handler.lines.toString(),
-                handler.lines.get(LogWriter.QUEUE_CAPACITY + 1).startsWith("log lines dropped count=5 "));
+        String lastLine = handler.lines.get(LogWriter.QUEUE_CAPACITY + 1);
+        assertTrue(lastLine, lastLine.startsWith("log lines dropped count=5 "));
     }
 }
