--- a/lab/src/main/java/fawnlb/lab/scenario/FaultRound.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/FaultRound.java
@@ -15,8 +15,6 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Collections;
 import java.util.Comparator;
 import java.util.Deque;
 import java.util.HashMap;
@@ -39,15 +37,10 @@
     private static final int BACKEND_COUNT = 16;
     private static final int OUTPUT_TOKENS = 9;
     private static final int CONCURRENT_REQUESTS = 150;
-    private static final int CLEAN_REQUESTS_PER_FAULT = 2;
     private static final int MAX_REPEATS = 40;
-    private static final int QUICK_SAMPLE_SIZE = 500;
     private static final int DEADLINE_MILLIS = 4000;
     private static final int CLOSE_POLLS = 100;
     private static final int CLOSE_POLL_MILLIS = 100;
-    /** Shorter than the time after which the node gives up a silent stream. */
-    private static final long PAUSE_NANOS = 50_000_000;
-
     private static final Pattern BACKEND_ID = Pattern.compile("s-[0-9a-f]{8}");
     private static final String ALL_CLOSED = "\n0 stream(s) open, 0 byte(s) held";
     private static final String STREAMS_FILE =
@@ -85,7 +78,7 @@
             InetSocketAddress admin = new InetSocketAddress("127.0.0.1", Ports.findFreePort());
             startNode(testbed, admin);
             recordCleanResponses(testbed);
-            fillQueue();
+            queue.addAll(FaultPlan.draw(cleanResponses, random, length));
             System.err.printf("%s backends: %d requests%n", backendDialect, queue.size());
             testbed.runOnClients(() -> {
                 for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
@@ -145,33 +138,6 @@
                 .orElseThrow();
     }
 
-    private void fillQueue() {
-        List<PlannedRequest> faulty = new ArrayList<>();
-        for (ResponseForm form : ResponseForm.ALL) {
-            for (Fault.Kind kind : Fault.Kind.values()) {
-                int offsets = kind.isPositional() ? cleanResponses.get(form).totalBytes() : 1;
-                for (int offset = 0; offset < offsets; offset++) {
-                    faulty.add(PlannedRequest.faulty(form, new Fault(kind, offset, PAUSE_NANOS), drawRepetition()));
-                }
-            }
-        }
-        Collections.shuffle(faulty, random);
-        for (PlannedRequest request : faulty.subList(0, length.choose(faulty.size(), quickSampleSize(faulty)))) {
-            queue.add(request);
-            for (int i = 0; i < CLEAN_REQUESTS_PER_FAULT; i++) {
-                queue.add(PlannedRequest.clean(request.form()));
-            }
-        }
-    }
-
-    private static int quickSampleSize(List<PlannedRequest> requests) {
-        return Math.min(QUICK_SAMPLE_SIZE, requests.size());
-    }
-
-    private PlannedRequest.Repetition drawRepetition() {
-        return random.nextBoolean() ? PlannedRequest.Repetition.EVERY_ATTEMPT : PlannedRequest.Repetition.FIRST_ATTEMPT;
-    }
-
     private void sendNext() {
         PlannedRequest request = queue.poll();
         if (request == null) {
