--- a/lab/src/test/java/fawnlb/lab/engine/EngineTest.java
+++ b/lab/src/test/java/fawnlb/lab/engine/EngineTest.java
@@ -115,7 +115,7 @@
         assertFalse("after its slow start the engine is full and stays up", started.isCollapsed());
         Engine spread = new Engine(PROFILE, SLOW_START, NANOS_PER_SECOND);
         for (int i = 0; i < 2 * maxRequests; i++) {
-            spread.offer(NANOS_PER_SECOND + i * 10 * NANOS_PER_SECOND / maxRequests, sequence("a", i, 1000, 1));
+            spread.offer(NANOS_PER_SECOND + i * 10L * NANOS_PER_SECOND / maxRequests, sequence("a", i, 1000, 1));
         }
         assertFalse(spread.isCollapsed());
     }
--- a/node/src/main/java/fawnlb/client/ConnectionCloser.java
+++ b/node/src/main/java/fawnlb/client/ConnectionCloser.java
@@ -115,6 +115,7 @@
     }
 
     /** Reads a connection once more, and closes it if that brought nothing. Returns whether it is closed. */
+    @SuppressWarnings("ReferenceEquality") // An entry that was replaced by an equal one says that something was read.
     private boolean closeUnlessRequestPending(StreamConnection connection, CloseReason reason) {
         ConnectionTable.Entry before = connections.get(connection);
         if (before == null || before.isIn(ConnectionState.SERVING)) {
--- a/node/src/test/java/fawnlb/backend/BackendPoolHarness.java
+++ b/node/src/test/java/fawnlb/backend/BackendPoolHarness.java
@@ -16,6 +16,7 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -128,7 +129,8 @@
 
     /** Reads the head of a request up to the given header, and returns the header's value. */
     static String readHeader(Socket socket, String name) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
         String prefix = name + ": ";
         String line = in.readLine();
         while (!line.startsWith(prefix)) {
--- a/node/src/test/java/fawnlb/client/AffinityKeysTest.java
+++ b/node/src/test/java/fawnlb/client/AffinityKeysTest.java
@@ -1,7 +1,7 @@
 package fawnlb.client;
 
 import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.Assert.assertNotEquals;
 
 import org.junit.Test;
 
@@ -10,7 +10,8 @@
     public void affinityKeysAreHexOrHashed() {
         assertEquals(0x7f3a9c21e0b4d655L, AffinityKeys.parse("7f3a9c21e0b4d655"));
         assertEquals(0, AffinityKeys.parse(" "));
-        assertTrue(AffinityKeys.parse("someone") != AffinityKeys.parse("someone else")
-                && AffinityKeys.parse("someone") == AffinityKeys.parse("someone"));
+        long hashed = AffinityKeys.parse("someone");
+        assertNotEquals(hashed, AffinityKeys.parse("someone else"));
+        assertEquals(hashed, AffinityKeys.parse("someone"));
     }
 }
--- a/node/src/test/java/fawnlb/client/ClientConnectionTrackerTest.java
+++ b/node/src/test/java/fawnlb/client/ClientConnectionTrackerTest.java
@@ -16,6 +16,7 @@
 import java.io.InputStreamReader;
 import java.lang.reflect.Field;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
@@ -231,7 +232,8 @@
         try (Socket client = server.connect()) {
             StreamConnection connection = server.trackNext();
             send(client, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 300000\r\n\r\nbegun");
-            BufferedReader response = new BufferedReader(new InputStreamReader(client.getInputStream()));
+            BufferedReader response =
+                    new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.ISO_8859_1));
             assertTrue(response.lines().anyMatch("too large"::equals));
             for (int part = 0; part < 2; part++) {
                 server.sendUnread(client, "more", () -> invokeReadListener(connection));
--- a/node/src/test/java/fawnlb/client/ClientExchangeTest.java
+++ b/node/src/test/java/fawnlb/client/ClientExchangeTest.java
@@ -9,6 +9,7 @@
 import java.io.InputStream;
 import java.lang.ref.WeakReference;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CopyOnWriteArrayList;
@@ -165,7 +166,7 @@
                 });
                 Socket client = server.connect()) {
             ExchangeServer.send(client, CLOSING_REQUEST);
-            String response = new String(client.getInputStream().readAllBytes());
+            String response = new String(client.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(response, response.startsWith("HTTP/1.1 503") && response.endsWith("no\n"));
             assertTrue("the attempt is cancelled", cancelled.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
--- a/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
+++ b/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
@@ -420,7 +420,7 @@
         host.list(EndpointUpdateKind.FULL, ready(24));
         SplittableRandom random = new SplittableRandom(170);
         for (int round = 0; round < 60; round++) {
-            long id = 1 + random.nextInt(30);
+            long id = 1L + random.nextInt(30);
             AttemptOutcome outcome = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
             host.behaviors.put(
                     id,
--- a/node/src/test/java/fawnlb/policy/SimulatedHost.java
+++ b/node/src/test/java/fawnlb/policy/SimulatedHost.java
@@ -156,7 +156,7 @@
     }
 
     private void arrive(Traffic traffic) {
-        long session = 1 + random.nextInt(traffic.sessions());
+        long session = 1L + random.nextInt(traffic.sessions());
         long prefix = random.nextDouble() < traffic.hotPart() ? 77 : prefix(traffic);
         int type = FIRST_TYPE + random.nextInt(traffic.types());
         int promptTokens = 50 + random.nextInt(2000);
--- a/node/src/test/java/fawnlb/policy/ZoneAffinityTest.java
+++ b/node/src/test/java/fawnlb/policy/ZoneAffinityTest.java
@@ -1,7 +1,6 @@
 package fawnlb.policy;
 
 import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
 
 import fawnlb.decision.Endpoint;
 import fawnlb.decision.EndpointPhase;
@@ -57,8 +56,9 @@
     public void sessionsKeepTheirChoice() {
         ZoneAffinity affinity = new ZoneAffinity(CROSSING_IS_DEAR);
         EndpointTable table = table(0, 2);
-        assertTrue(LongStream.range(0, 100)
-                .allMatch(session ->
-                        affinity.prefersLocalZone(session, table) == affinity.prefersLocalZone(session, table)));
+        for (long session = 0; session < 100; session++) {
+            boolean isLocal = affinity.prefersLocalZone(session, table);
+            assertEquals(isLocal, affinity.prefersLocalZone(session, table));
+        }
     }
 }
--- a/node/src/test/java/fawnlb/proxy/ManualTimers.java
+++ b/node/src/test/java/fawnlb/proxy/ManualTimers.java
@@ -6,10 +6,11 @@
 
 /** A clock that moves only when a test advances it, and runs the timers that are due by then. */
 final class ManualTimers implements Timers {
-    private record ScheduledTask(long dueAt, Runnable task) {}
+    private record ScheduledTask(long dueAt, long order, Runnable task) {}
 
     private final List<ScheduledTask> pending = new ArrayList<>();
     private long now = 1_000_000_000;
+    private long nextOrder;
     private long maxEventAgeNanos;
 
     @Override
@@ -29,15 +30,15 @@
 
     @Override
     public Timer schedule(long delayNanos, Runnable task) {
-        ScheduledTask scheduled = new ScheduledTask(now + delayNanos, task);
+        ScheduledTask scheduled = new ScheduledTask(now + delayNanos, nextOrder++, task);
         pending.add(scheduled);
-        return () -> pending.removeIf(other -> other == scheduled);
+        return () -> pending.remove(scheduled);
     }
 
     void advance(long nanos) {
         now += nanos;
         for (ScheduledTask scheduled : List.copyOf(pending)) {
-            if (scheduled.dueAt() <= now && pending.removeIf(other -> other == scheduled)) {
+            if (scheduled.dueAt() <= now && pending.remove(scheduled)) {
                 scheduled.task().run();
             }
         }
--- a/node/src/test/java/fawnlb/simulator/SimulatorHostTest.java
+++ b/node/src/test/java/fawnlb/simulator/SimulatorHostTest.java
@@ -10,6 +10,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
+import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
@@ -47,7 +48,7 @@
 
     private static void putAttachInstance(ByteBuffer buffer) {
         putRecordHeader(buffer, RecordCodes.ATTACH_INSTANCE, 3);
-        buffer.putLong(42).putInt(SETTINGS.length()).put(SETTINGS.getBytes());
+        buffer.putLong(42).putInt(SETTINGS.length()).put(SETTINGS.getBytes(StandardCharsets.UTF_8));
     }
 
     private static void putEndpointList(ByteBuffer buffer) {
@@ -96,7 +97,7 @@
                 .run();
         byte[] reply = out.toByteArray();
         assertEquals(69, reply[8]);
-        String text = new String(reply);
+        String text = new String(reply, StandardCharsets.UTF_8);
         assertTrue(text.contains("broken sum") && text.contains("EndpointsUpdated"), text);
     }
 
