--- a/node/src/test/java/fawnlb/policy/DecisionModuleConstraintsTest.java
+++ b/node/src/test/java/fawnlb/policy/DecisionModuleConstraintsTest.java
@@ -12,11 +12,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/**
- * Holds the decision module to what its readers were promised: narrow files that decide, without I/O, clock or threads.
- */
+/** Holds the decision module to its rules: small files with narrow lines that decide, without I/O, clock or threads. */
 class DecisionModuleConstraintsTest {
     private static final int MAX_WIDTH = 120;
+    private static final int MAX_CLASS_LINES = 300;
+    private static final int MAX_LOAD_BALANCER_LINES = 250;
     private static final Pattern FORBIDDEN = Pattern.compile(
             "import java\\.(io|net|nio|time|util\\.concurrent)"
                     + "|System\\.(nanoTime|currentTimeMillis|in|out|err|getenv|getProperty)|new Thread|Math\\.random|java\\.util\\.Random");
@@ -42,6 +42,20 @@
                 lines.stream().filter(line -> line.length() > MAX_WIDTH).toList());
     }
 
+    @Test
+    void policyClassesStaySmall() throws IOException {
+        try (Stream<Path> files = Files.list(Path.of("src/main/java/fawnlb/policy"))) {
+            for (Path file : files.toList()) {
+                boolean isLoadBalancer = file.endsWith("BoundedLoadBalancer.java");
+                int allowed = isLoadBalancer ? MAX_LOAD_BALANCER_LINES : MAX_CLASS_LINES;
+                long lines = Files.readAllLines(file).stream()
+                        .filter(line -> !line.isBlank())
+                        .count();
+                assertTrue(lines <= allowed, file + " has " + lines + " lines");
+            }
+        }
+    }
+
     @Test
     void decisionModulesUseNoClockAndNoInputOrOutput() throws IOException {
         List<String> lines = linesOf("policy", "membership", "restore", "filter", "stream");
--- a/node/src/test/java/fawnlb/policy/EndpointSelectionTest.java
+++ b/node/src/test/java/fawnlb/policy/EndpointSelectionTest.java
@@ -16,6 +16,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
+/** Which endpoint a request goes to when nothing is wrong with any of them. */
 class EndpointSelectionTest {
     private static final int KEYS = 2000;
 
@@ -106,9 +107,10 @@
     @Test
     void drainingEndpointsReceiveNothingNew() {
         LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(3);
-        long home = harness.primaryEndpoint(77);
-        harness.updateEndpoints(EndpointUpdateKind.DELTA, endpoint(home, EndpointPhase.DRAINING, 0, (int) (home % 3)));
-        assertNotEquals(home, harness.primaryEndpoint(77));
+        long primary = harness.primaryEndpoint(77);
+        harness.updateEndpoints(
+                EndpointUpdateKind.DELTA, endpoint(primary, EndpointPhase.DRAINING, 0, (int) (primary % 3)));
+        assertNotEquals(primary, harness.primaryEndpoint(77));
         Set<Long> used = new HashSet<>();
         LongStream.range(1, 300).forEach(key -> used.add(harness.primaryEndpoint(key)));
         assertEquals(2, used.size());
@@ -137,14 +139,14 @@
     void everyOutcomeLowersTheInFlightCount() {
         for (AttemptOutcome outcome : AttemptOutcome.values()) {
             LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(5);
-            long home = harness.primaryEndpoint(3);
+            long primary = harness.primaryEndpoint(3);
             for (int i = 0; i < LoadBound.MIN_BOUND; i++) {
                 harness.arrive(0, 3);
-                assertEquals(home, harness.lastAttempt().endpointId());
+                assertEquals(primary, harness.lastAttempt().endpointId());
                 harness.endAttempt(harness.lastAttempt(), 0, outcome, true);
                 harness.now += 60 * LoadBalancerHarness.S;
             }
-            assertEquals(home, harness.primaryEndpoint(3), outcome.name());
+            assertEquals(primary, harness.primaryEndpoint(3), outcome.name());
         }
     }
 
--- a/node/src/test/java/fawnlb/policy/LoadAdaptationTest.java
+++ b/node/src/test/java/fawnlb/policy/LoadAdaptationTest.java
@@ -23,6 +23,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
+/** How selection adapts to hot prefixes, to failing, slow and starting endpoints, and to rollouts. */
 class LoadAdaptationTest {
     @Test
     void rarePrefixStaysOnOneEndpointAndAHotOneSpreads() {
@@ -47,12 +48,12 @@
     @Test
     void unreachableEndpointIsEjectedUntilItAnswers() {
         LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(5);
-        long home = harness.primaryEndpoint(8);
+        long primary = harness.primaryEndpoint(8);
         harness.arrive(0, 8);
         harness.endAttempt(harness.lastAttempt(), 0, AttemptOutcome.CONNECT_FAILED, true);
-        assertNotEquals(home, harness.primaryEndpoint(8));
+        assertNotEquals(primary, harness.primaryEndpoint(8));
         harness.now += 2 * S;
-        assertEquals(home, harness.primaryEndpoint(8));
+        assertEquals(primary, harness.primaryEndpoint(8));
     }
 
     /** Three unreachable endpoints of a zone stand for all of it, as long as none of them answers. */
@@ -198,10 +199,10 @@
         harness.endAttempt(first, 0, AttemptOutcome.TIMEOUT, false, S / 2);
         assertNotEquals(first.endpointId(), harness.lastAttempt().endpointId());
         assertEquals(harness.now + S / 2, harness.lastAttempt().deadline());
-        LoadBalancerHarness unsafe =
+        LoadBalancerHarness nonIdempotent =
                 LoadBalancerHarness.withEndpoints(5, Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL);
-        unsafe.arrive(0, 8);
-        assertTrue(unsafe.lastAttempt().deadline() >= unsafe.now + S);
+        nonIdempotent.arrive(0, 8);
+        assertTrue(nonIdempotent.lastAttempt().deadline() >= nonIdempotent.now + S);
     }
 
     @Test
@@ -215,11 +216,11 @@
                 .filter(s ->
                         s.endpointId() == harness.startedAttempts().get(300).endpointId())
                 .count();
-        int replicas = (int) harness.startedAttempts().stream()
+        int endpoints = (int) harness.startedAttempts().stream()
                 .map(StartAttempt::endpointId)
                 .distinct()
                 .count();
-        assertEquals(4, replicas);
+        assertEquals(4, endpoints);
         assertTrue(most > 0);
         long busiest = harness.startedAttempts().stream()
                 .mapToLong(StartAttempt::endpointId)
@@ -238,18 +239,18 @@
     void midStreamStallEjectsUntilACompleteResponse() {
         for (AttemptOutcome outcome : new AttemptOutcome[] {AttemptOutcome.STALLED, AttemptOutcome.RESET}) {
             LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(5);
-            long home = harness.primaryEndpoint(11);
+            long primary = harness.primaryEndpoint(11);
             harness.arrive(0, 11);
             StartAttempt first = harness.lastAttempt();
             harness.arrive(0, 11);
             StartAttempt second = harness.lastAttempt();
-            assertEquals(home, second.endpointId());
+            assertEquals(primary, second.endpointId());
             harness.startResponse(first, 0, 100 * MS);
             harness.endAttempt(first, 0, outcome, true);
             harness.startResponse(second, 0, 100 * MS);
-            assertEquals(outcome == AttemptOutcome.RESET, home == harness.primaryEndpoint(11));
+            assertEquals(outcome == AttemptOutcome.RESET, primary == harness.primaryEndpoint(11));
             harness.endAttempt(second, 0, AttemptOutcome.SERVED, true);
-            assertEquals(home, harness.primaryEndpoint(11));
+            assertEquals(primary, harness.primaryEndpoint(11));
         }
     }
 
--- a/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
+++ b/node/src/test/java/fawnlb/policy/RecordedDecisionsTest.java
@@ -1,5 +1,8 @@
 package fawnlb.policy;
 
+import static fawnlb.policy.SimulatedHost.endpoint;
+import static fawnlb.policy.SimulatedHost.ready;
+import static fawnlb.policy.TestSettings.requestClass;
 import static org.junit.Assert.assertEquals;
 
 import fawnlb.decision.AttemptOutcome;
@@ -20,12 +23,11 @@
 import fawnlb.policy.SimulatedHost.Traffic;
 import java.util.List;
 import java.util.SplittableRandom;
-import java.util.function.LongPredicate;
 import java.util.stream.LongStream;
 import org.junit.Test;
 
 /**
- * Holds the decision module to what it decided when these hashes were recorded. A change that is meant to keep all
+ * Holds the load balancer to what it decided when these hashes were recorded. A change that is meant to keep all
  * decisions must reproduce them; one that changes decisions on purpose records new ones in the same commit and says
  * why.
  */
@@ -39,10 +41,6 @@
         return new TestSettings().instance(0, 2).requestClasses(classes);
     }
 
-    private static RequestClass requestClass(Idempotency idempotency, IdempotencyScope scope) {
-        return TestSettings.requestClass(idempotency, scope);
-    }
-
     private static SimulatedHost host(long seed, RequestClass... classes) {
         return host(seed, settings(classes));
     }
@@ -51,21 +49,6 @@
         return new SimulatedHost(settings.build(), seed);
     }
 
-    /** Zones 0 to 2 and kinds 0 and 1 by turns, two endpoints a cell. */
-    private static Endpoint endpoint(long id, EndpointPhase phase, long startedAt) {
-        return new Endpoint(id, phase, startedAt, 1, (int) (id % 3), (int) (id / 6), (int) (id % 2));
-    }
-
-    private static Endpoint[] ready(int count) {
-        return LongStream.rangeClosed(1, count)
-                .mapToObj(id -> endpoint(id, EndpointPhase.READY, 0))
-                .toArray(Endpoint[]::new);
-    }
-
-    private static void behave(SimulatedHost host, int count, LongPredicate which, Behavior behavior) {
-        LongStream.rangeClosed(1, count).filter(which).forEach(id -> host.behaviors.put(id, behavior));
-    }
-
     @Test
     public void joinsDrainsAndDepartures() {
         SimulatedHost host = host(1, CHAT);
@@ -111,7 +94,7 @@
                     EndpointUpdateKind.DELTA,
                     endpoint(id, EndpointPhase.GONE, start + id * S),
                     endpoint(100 + id, EndpointPhase.READY, host.now()));
-            behave(host, 14, endpoint -> true, Behavior.healthy(100 * MS, (id < 5 ? 4 : 10) * MS));
+            host.behave(14, endpoint -> true, Behavior.healthy(100 * MS, (id < 5 ? 4 : 10) * MS));
         }
         host.play(12 * S, Traffic.steady(60));
         assertEquals("3408 08da3bc14613eb24936afe68b5eecd39e53a1685c6e39c21d64fcd59c31fbf14", host.result());
@@ -156,11 +139,11 @@
             AttemptOutcome.STALLED,
             AttemptOutcome.CANCELLED
         }) {
-            behave(host, 12, id -> id <= 4, Behavior.failing(outcome, 0.7));
+            host.behave(12, id -> id <= 4, Behavior.failing(outcome, 0.7));
             host.play(4 * S, traffic);
-            behave(host, 12, id -> id <= 4, Behavior.failingMidStream(outcome, 0.5));
+            host.behave(12, id -> id <= 4, Behavior.failingMidStream(outcome, 0.5));
             host.play(3 * S, traffic);
-            behave(host, 12, id -> true, Behavior.HEALTHY);
+            host.behave(12, id -> true, Behavior.HEALTHY);
             host.play(3 * S, traffic);
         }
         assertEquals("4239 93bf34b14d118262a1391af520f71939bb4db6ca69eccd03b5260cfad49a7e5b", host.result());
@@ -171,10 +154,10 @@
         SimulatedHost host = host(5, CHAT);
         host.list(EndpointUpdateKind.FULL, ready(18));
         host.play(5 * S, Traffic.steady(80));
-        behave(host, 18, id -> id % 3 == 1, Behavior.failing(AttemptOutcome.CONNECT_FAILED, 1));
+        host.behave(18, id -> id % 3 == 1, Behavior.failing(AttemptOutcome.CONNECT_FAILED, 1));
         host.play(12 * S, Traffic.steady(80));
-        behave(host, 18, id -> id % 3 == 1, Behavior.HEALTHY);
-        behave(host, 18, id -> id % 3 == 2, Behavior.failing(AttemptOutcome.CONNECT_FAILED, 0.5));
+        host.behave(18, id -> id % 3 == 1, Behavior.HEALTHY);
+        host.behave(18, id -> id % 3 == 2, Behavior.failing(AttemptOutcome.CONNECT_FAILED, 0.5));
         host.play(8 * S, Traffic.steady(80));
         assertEquals("2144 311c3d8735f0cb242a85a04960a58d9a58ee204a1514f15cccc2302ef4013cd7", host.result());
     }
@@ -185,13 +168,13 @@
         Traffic traffic = new Traffic(80, 40, 2000, 0, 2, 1, 0);
         host.list(EndpointUpdateKind.FULL, ready(6));
         host.play(8 * S, traffic);
-        behave(host, 6, id -> true, Behavior.healthy(900 * MS, 4 * MS));
+        host.behave(6, id -> true, Behavior.healthy(900 * MS, 4 * MS));
         host.play(8 * S, traffic);
-        behave(host, 6, id -> true, Behavior.failing(AttemptOutcome.FULL, 0.6));
+        host.behave(6, id -> true, Behavior.failing(AttemptOutcome.FULL, 0.6));
         host.play(6 * S, traffic);
-        behave(host, 6, id -> true, Behavior.healthy(100 * MS, 15 * MS));
+        host.behave(6, id -> true, Behavior.healthy(100 * MS, 15 * MS));
         host.play(15 * S, traffic);
-        behave(host, 6, id -> true, Behavior.HEALTHY);
+        host.behave(6, id -> true, Behavior.HEALTHY);
         host.play(15 * S, traffic);
         assertEquals("5110 ae102b84b074466fc7f9ef73bf71d3e55ba6ea0cd105d2da104898c9b98e0b25", host.result());
     }
@@ -223,8 +206,8 @@
         };
         for (int round = 0; round < 8; round++) {
             int shift = round;
-            behave(host, 18, id -> true, Behavior.HEALTHY);
-            behave(host, 18, id -> (id + shift) % 4 == 0, Behavior.failing(outcomes[round % outcomes.length], 0.8));
+            host.behave(18, id -> true, Behavior.HEALTHY);
+            host.behave(18, id -> (id + shift) % 4 == 0, Behavior.failing(outcomes[round % outcomes.length], 0.8));
             host.play(5 * S, traffic);
         }
         assertEquals("2794 0b2852f4e64470cedda08fddcb1abb60af7ac57c546530a90dbb7f408188b27d", host.result());
@@ -238,7 +221,7 @@
         Traffic traffic = new Traffic(80, 40, 1000, 0, 1, 4, 0);
         host.list(EndpointUpdateKind.FULL, ready(6));
         host.play(6 * S, traffic);
-        behave(host, 6, id -> id != 2, Behavior.healthy(950 * MS, 6 * MS));
+        host.behave(6, id -> id != 2, Behavior.healthy(950 * MS, 6 * MS));
         host.play(15 * S, traffic);
         assertEquals("2143 bc2a6819684f2f6813ed4cc974082c0b6e8c7356501d9be9a0db506119945dd2", host.result());
     }
@@ -250,8 +233,8 @@
             SimulatedHost host = host(9, settings(CHAT).limits(limits));
             Traffic traffic = new Traffic(60, 20, 300, 0.2, 1, 1, 0.5);
             host.list(EndpointUpdateKind.FULL, ready(5));
-            behave(host, 5, id -> true, Behavior.healthy(400 * MS, 4 * MS));
-            behave(host, 5, id -> id == 3, Behavior.failing(AttemptOutcome.ERROR, 0.5));
+            host.behave(5, id -> true, Behavior.healthy(400 * MS, 4 * MS));
+            host.behave(5, id -> id == 3, Behavior.failing(AttemptOutcome.ERROR, 0.5));
             host.play(20 * S, traffic);
             assertEquals(
                     cancel
@@ -331,7 +314,7 @@
         SimulatedHost host = host(13, settings(CHAT).costs(CROSSING_COSTS));
         host.list(EndpointUpdateKind.FULL, ready(12));
         host.play(10 * S, Traffic.steady(60));
-        behave(host, 12, id -> id % 3 == 0, Behavior.failing(AttemptOutcome.CONNECT_FAILED, 0.6));
+        host.behave(12, id -> id % 3 == 0, Behavior.failing(AttemptOutcome.CONNECT_FAILED, 0.6));
         host.play(6 * S, Traffic.steady(60));
         host.list(
                 EndpointUpdateKind.FULL,
@@ -348,9 +331,9 @@
     public void saturationWidensTheBound() {
         SimulatedHost host = host(14, CHAT);
         host.list(EndpointUpdateKind.FULL, ready(4));
-        behave(host, 4, id -> true, Behavior.healthy(100 * MS, 30 * MS));
+        host.behave(4, id -> true, Behavior.healthy(100 * MS, 30 * MS));
         host.play(20 * S, new Traffic(30, 5, 6, 0, 1, 1, 0));
-        behave(host, 4, id -> true, Behavior.HEALTHY);
+        host.behave(4, id -> true, Behavior.HEALTHY);
         host.play(20 * S, new Traffic(30, 5, 6, 0, 1, 1, 0));
         assertEquals("1189 34b173d181a4ae611e0b1a50c1901bfabb9f1f0c5603c0ccd0ceb64aba9a5d35", host.result());
     }
@@ -359,12 +342,12 @@
     public void slowKindsAndSlowEndpoints() {
         SimulatedHost host = host(15, CHAT);
         host.list(EndpointUpdateKind.FULL, ready(20));
-        behave(host, 20, id -> id % 2 == 1, Behavior.healthy(150 * MS, 9 * MS));
+        host.behave(20, id -> id % 2 == 1, Behavior.healthy(150 * MS, 9 * MS));
         host.play(20 * S, Traffic.steady(60));
-        behave(host, 20, id -> id == 4, Behavior.healthy(1500 * MS, 20 * MS));
-        behave(host, 20, id -> id == 5, Behavior.failing(AttemptOutcome.TIMEOUT, 1));
+        host.behave(20, id -> id == 4, Behavior.healthy(1500 * MS, 20 * MS));
+        host.behave(20, id -> id == 5, Behavior.failing(AttemptOutcome.TIMEOUT, 1));
         host.play(15 * S, Traffic.steady(60));
-        behave(host, 20, id -> true, Behavior.healthy(600 * MS, 4 * MS));
+        host.behave(20, id -> true, Behavior.healthy(600 * MS, 4 * MS));
         host.play(10 * S, Traffic.steady(60));
         assertEquals("2792 67acdf7204636fbe5174ae55c653756c1f8585f37367f023522a122b9d900fe2", host.result());
     }
--- a/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
+++ b/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
@@ -23,10 +23,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** The life of requests, from their arrival over attempts and retries to the final answer. */
 class RequestLifecycleTest {
     /** A load balancer after the only attempt of its first request has ended like this. */
-    private static LoadBalancerHarness after(Idempotency effect, IdempotencyScope group, AttemptOutcome outcome) {
-        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(6, effect, group);
+    private static LoadBalancerHarness after(Idempotency idempotency, IdempotencyScope scope, AttemptOutcome outcome) {
+        LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(6, idempotency, scope);
         harness.arrive(0, 9);
         harness.endAttempt(harness.lastAttempt(), 0, outcome, false);
         return harness;
@@ -240,12 +241,12 @@
     @Test
     void restartUnderTheSameIdBeginsSlowStart() {
         LoadBalancerHarness harness = LoadBalancerHarness.withEndpoints(3);
-        long home = harness.primaryEndpoint(4);
+        long primary = harness.primaryEndpoint(4);
         harness.updateEndpoints(
-                EndpointUpdateKind.DELTA, endpoint(home, EndpointPhase.READY, harness.now, (int) (home % 3)));
-        assertNotEquals(home, harness.primaryEndpoint(4));
+                EndpointUpdateKind.DELTA, endpoint(primary, EndpointPhase.READY, harness.now, (int) (primary % 3)));
+        assertNotEquals(primary, harness.primaryEndpoint(4));
         harness.now += 10 * S;
-        assertEquals(home, harness.primaryEndpoint(4));
+        assertEquals(primary, harness.primaryEndpoint(4));
     }
 
     @Test
--- a/node/src/test/java/fawnlb/policy/SimulatedHost.java
+++ b/node/src/test/java/fawnlb/policy/SimulatedHost.java
@@ -2,6 +2,7 @@
 
 import fawnlb.decision.AttemptOutcome;
 import fawnlb.decision.Endpoint;
+import fawnlb.decision.EndpointPhase;
 import fawnlb.decision.EndpointUpdateKind;
 import fawnlb.decision.LoadBalancerAction;
 import fawnlb.decision.LoadBalancerAction.CancelAttempt;
@@ -25,16 +26,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.function.LongPredicate;
+import java.util.stream.LongStream;
 
 /**
- * Carries out the actions of one decision module on a clock of its own: starts attempts on simulated servers, raises
+ * Carries out the actions of one load balancer on a clock of its own: starts attempts on simulated endpoints, raises
  * timers and answers calls to discovery. All actions go into a digest. Everything is drawn from one seed.
  */
 final class SimulatedHost {
     static final long MS = 1_000_000;
     static final long S = 1_000 * MS;
 
-    /** How a server answers: with this probability as {@code failure}, else whole. */
+    /** How an endpoint responds: with a failure of this probability, else completely. */
     record Behavior(
             long firstTokenNanos,
             long nanosPerToken,
@@ -72,12 +75,12 @@
 
     /** An attempt that has not ended yet. */
     private static final class Running {
-        final StartAttempt send;
+        final StartAttempt start;
         final int number;
         boolean ended;
 
-        Running(StartAttempt send, int number) {
-            this.send = send;
+        Running(StartAttempt start, int number) {
+            this.start = start;
             this.number = number;
         }
     }
@@ -97,14 +100,14 @@
 
     final SplittableRandom random;
     final Map<Long, Behavior> behaviors = new HashMap<>();
-    /** How discovery answers the next calls; after the last of them it answers with the whole list. */
+    /** How discovery answers the next calls; when they are used up, it answers with the complete list. */
     final Deque<EndpointUpdateKind> discoveryAnswers = new ArrayDeque<>();
 
     List<Endpoint> listed = List.of();
     private final EventQueue queue = new EventQueue(100 * S);
 
     private final LoadBalancerSettings settings;
-    private final BoundedLoadBalancer module;
+    private final BoundedLoadBalancer loadBalancer;
     private final ActionDigest digest = new ActionDigest();
     private final Map<Long, Exchange> exchanges = new HashMap<>();
     private long requestId;
@@ -112,7 +115,24 @@
     SimulatedHost(LoadBalancerSettings settings, long seed) {
         this.settings = settings;
         random = new SplittableRandom(seed);
-        module = new BoundedLoadBalancer(settings, seed, this::act);
+        loadBalancer = new BoundedLoadBalancer(settings, seed, this::act);
+    }
+
+    /** An endpoint of zones 0 to 2 and kinds 0 and 1 by turns, six endpoints a cell. */
+    static Endpoint endpoint(long id, EndpointPhase phase, long startedAt) {
+        return new Endpoint(id, phase, startedAt, 1, (int) (id % 3), (int) (id / 6), (int) (id % 2));
+    }
+
+    /** Endpoints with ids from 1 on. */
+    static Endpoint[] ready(int count) {
+        return LongStream.rangeClosed(1, count)
+                .mapToObj(id -> endpoint(id, EndpointPhase.READY, 0))
+                .toArray(Endpoint[]::new);
+    }
+
+    /** Sets the behavior of those of the first endpoints that meet a condition. */
+    void behave(int endpoints, LongPredicate condition, Behavior behavior) {
+        LongStream.rangeClosed(1, endpoints).filter(condition).forEach(id -> behaviors.put(id, behavior));
     }
 
     String result() {
@@ -120,7 +140,7 @@
     }
 
     void handle(LoadBalancerEvent event) {
-        module.onEvent(now(), event);
+        loadBalancer.onEvent(now(), event);
     }
 
     void list(EndpointUpdateKind kind, Endpoint... entries) {
@@ -202,8 +222,8 @@
 
     private void act(LoadBalancerAction action) {
         digest.add(now(), action);
-        if (action instanceof StartAttempt send) {
-            start(send);
+        if (action instanceof StartAttempt start) {
+            startAttempt(start);
         } else if (action instanceof CancelAttempt cancel) {
             Running attempt = exchanges.get(cancel.requestId()).attempts.get(cancel.attempt());
             after(MS, () -> end(attempt, AttemptOutcome.CANCELLED, 0, true));
@@ -224,7 +244,7 @@
         after(delay, () -> handle(new EndpointsUpdated(kind, 1, kind.isFailure() ? List.of() : listed)));
     }
 
-    /** The final answer to a request; half of the clients that are rejected come again. */
+    /** Notes the final answer to a request; half of the clients that are rejected retry. */
     private void answer(long id, boolean mayRetry) {
         Exchange exchange = exchanges.get(id);
         exchange.answered = true;
@@ -249,17 +269,17 @@
         }
     }
 
-    private void start(StartAttempt send) {
-        Exchange exchange = exchanges.get(send.requestId());
-        Running attempt = new Running(send, exchange.attempts.size());
+    private void startAttempt(StartAttempt start) {
+        Exchange exchange = exchanges.get(start.requestId());
+        Running attempt = new Running(start, exchange.attempts.size());
         exchange.attempts.add(attempt);
-        Behavior behavior = behaviors.getOrDefault(send.endpointId(), Behavior.HEALTHY);
+        Behavior behavior = behaviors.getOrDefault(start.endpointId(), Behavior.HEALTHY);
         boolean fails = random.nextDouble() < behavior.failureProbability();
         long jitter = random.nextLong(20 * MS);
         long first = behavior.firstTokenNanos() + jitter;
         if (fails && !behavior.failsMidStream()) {
             fail(attempt, behavior.failure(), first);
-        } else if (now() + first > send.deadline()) {
+        } else if (now() + first > start.deadline()) {
             timeOut(attempt);
         } else {
             stream(exchange, attempt, first, fails);
@@ -268,7 +288,7 @@
 
     private void fail(Running attempt, AttemptOutcome outcome, long took) {
         boolean silent = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.STALLED;
-        if (silent || now() + took > attempt.send.deadline()) {
+        if (silent || now() + took > attempt.start.deadline()) {
             timeOut(attempt);
         } else {
             after(took, () -> end(attempt, outcome, took, false));
@@ -276,7 +296,7 @@
     }
 
     private void timeOut(Running attempt) {
-        long timeoutNanos = attempt.send.deadline() - now();
+        long timeoutNanos = attempt.start.deadline() - now();
         after(
                 timeoutNanos,
                 () -> end(
@@ -287,7 +307,7 @@
     }
 
     private void stream(Exchange exchange, Running attempt, long first, boolean fails) {
-        Behavior behavior = behaviors.getOrDefault(attempt.send.endpointId(), Behavior.HEALTHY);
+        Behavior behavior = behaviors.getOrDefault(attempt.start.endpointId(), Behavior.HEALTHY);
         long took = first + (long) (behavior.nanosPerToken() * exchange.request.maxTokens());
         boolean streams = settings.requestClass(exchange.request.classIndex()).isStreaming();
         if (streams) {
@@ -303,18 +323,18 @@
     private void started(Exchange exchange, Running attempt, long took) {
         if (!attempt.ended) {
             exchange.answered = true;
-            handle(new ResponseStarted(attempt.send.requestId(), attempt.number, attempt.send.endpointId(), took));
+            handle(new ResponseStarted(attempt.start.requestId(), attempt.number, attempt.start.endpointId(), took));
         }
     }
 
     private void end(Running attempt, AttemptOutcome outcome, long took, boolean over) {
         if (!attempt.ended) {
             attempt.ended = true;
-            boolean last = over || exchanges.get(attempt.send.requestId()).answered;
+            boolean last = over || exchanges.get(attempt.start.requestId()).answered;
             handle(new AttemptEnded(
-                    attempt.send.requestId(),
+                    attempt.start.requestId(),
                     attempt.number,
-                    attempt.send.endpointId(),
+                    attempt.start.endpointId(),
                     outcome,
                     last,
                     took,
