--- a/node/src/main/java/fawnlb/decision/Endpoint.java
+++ b/node/src/main/java/fawnlb/decision/Endpoint.java
@@ -5,7 +5,7 @@
  *
  * @param id identifies the endpoint, also after a restart
  * @param startedAt when it last started, on the host's clock; 0 if long ago
- * @param size its capacity relative to others of its kind
+ * @param size its size as listed; no decision depends on it
  * @param zone the number of its zone, see {@link LoadBalancerSettings.Names#zones}
  * @param cell the number of its cell within the zone
  * @param kind the number of its kind of hardware, see {@link LoadBalancerSettings.Names#kinds}
--- a/node/src/main/java/fawnlb/decision/EndpointUpdateKind.java
+++ b/node/src/main/java/fawnlb/decision/EndpointUpdateKind.java
@@ -1,9 +1,6 @@
 package fawnlb.decision;
 
-/**
- * What an update of the endpoint list brings, or why it brings nothing. The simulator's wire sends the number of a
- * constant, so that their order must not change.
- */
+/** What an update of the endpoint list brings, or why it brings nothing. */
 public enum EndpointUpdateKind {
     /** The entries that have changed. */
     DELTA,
--- a/node/src/main/java/fawnlb/decision/LoadBalancerEvent.java
+++ b/node/src/main/java/fawnlb/decision/LoadBalancerEvent.java
@@ -23,12 +23,12 @@
      * @param sessionKey a hash of the session that it belongs to
      * @param prefixKey a hash of the prefix of its prompt that other requests may share
      * @param timeoutNanos how long the client waits
-     * @param workHint the client's estimate of the work
+     * @param workHint a hint on the work, which no decision depends on
      * @param prefixTokens how many of the prompt's tokens belong to the prefix
      * @param maxTokens how many tokens the response may have
-     * @param hasHints whether the client gave the numbers of tokens
+     * @param hasHints whether the request came with hints, which no decision depends on
      * @param isRetry whether the client has sent it before
-     * @param isResumed whether it continues an interrupted response
+     * @param isResumed whether it resumes an interrupted response, which no decision depends on
      */
     record RequestArrived(
             long requestId,
--- a/node/src/main/java/fawnlb/policy/AdmissionController.java
+++ b/node/src/main/java/fawnlb/policy/AdmissionController.java
@@ -11,10 +11,11 @@
  * streams back to {@link #SLOW_STREAMS} times their best pace.
  */
 final class AdmissionController {
+    /** A smaller fraction of late attempts is no overload; measured on the first site. */
     static final double OVERLOAD_THRESHOLD = 0.1;
     /** Some sessions always pass: with none, no response could show that the overload is over. */
     static final double MAX_SHED_FRACTION = 0.9;
-    /** Streams vary in length, and up to about twice the best pace is ordinary load. */
+    /** Up to this multiple of the best pace is ordinary load; measured on the first site. */
     static final double SLOW_STREAMS = 2.2;
     /**
      * A first token later than this fraction of its objective counts as late, a moment before the objective is missed.
--- a/node/src/main/java/fawnlb/policy/AttemptTimeouts.java
+++ b/node/src/main/java/fawnlb/policy/AttemptTimeouts.java
@@ -8,9 +8,9 @@
  * time elsewhere; but not where first tokens take about that long at present, nor without budget for a retry.
  */
 final class AttemptTimeouts {
-    /** Half of the first-token objective is left for the retry. */
+    /** The other half of the first-token objective is left for the retry. */
     static final double FIRST_ATTEMPT_OBJECTIVE_FRACTION = 0.5;
-    /** Six times the usual latency is silence; less may be a long prompt. */
+    /** A shorter time without a first token may be a long prompt; measured on the first site. */
     static final double BASELINE_LATENCY_MULTIPLE = 6;
 
     private final RetryBudget budget;
--- a/node/src/main/java/fawnlb/policy/EndpointCapacity.java
+++ b/node/src/main/java/fawnlb/policy/EndpointCapacity.java
@@ -2,7 +2,10 @@
 
 /** Combines what limits the use of single endpoints: whether one may be used at all, and up to which bound. */
 final class EndpointCapacity {
-    /** Endpoints that a rollout replaces next receive this fraction, so that few of their streams are cut. */
+    /**
+     * Endpoints that a rollout replaces next receive this fraction, so that few of their streams are cut; measured on
+     * the first site.
+     */
     static final double NEXT_IN_ROLLOUT_FRACTION = 0.3;
     /** While streams take this many times as long as at best, every endpoint is needed. */
     static final double MAX_ROLLOUT_SLOWDOWN = 1.6;
--- a/node/src/main/java/fawnlb/policy/HotKeySpreader.java
+++ b/node/src/main/java/fawnlb/policy/HotKeySpreader.java
@@ -7,7 +7,7 @@
  * as keep each of them below that; each place reads the prefix once.
  */
 final class HotKeySpreader {
-    /** A quarter of an endpoint's share: several hot prefixes may fall on one endpoint by chance. */
+    /** Four places that fall on one endpoint by chance make up its share; measured on the first site. */
     static final double MAX_SHARE_PER_PLACE = 0.25;
     /**
      * A share that was seen in this many requests is believed by half. It does not grow with the fleet, since what one
@@ -16,9 +16,9 @@
     static final double PRIOR_REQUESTS = 16;
     /** Places collide by chance: from this fraction of the endpoints on, each session is a place of its own. */
     static final double MAX_PLACES_FRACTION = 0.25;
-    /** Requests that are remembered for each endpoint, about what a small share of a prefix shows in. */
+    /** Requests that are tracked for each endpoint; measured on the first site. */
     static final int RECENT_REQUESTS_PER_ENDPOINT = 8;
-    /** The least number of endpoints that requests are remembered for. */
+    /** Small fleets are taken for this many endpoints, so that enough requests are tracked. */
     static final int MIN_ENDPOINTS_FOR_RECENT_REQUESTS = 16;
 
     private final RecentKeys recent = new RecentKeys();
--- a/node/src/main/java/fawnlb/policy/LatencyTracker.java
+++ b/node/src/main/java/fawnlb/policy/LatencyTracker.java
@@ -9,7 +9,7 @@
  * That ends with the first tokens that come as usual again.
  */
 final class LatencyTracker {
-    /** Twice the usual latency is within what prompts of different length cause. */
+    /** Measured on the first site. */
     static final double SLOW_MULTIPLE = 2;
     /** No latency below this fraction of a request's first-token objective matters. */
     static final double NEGLIGIBLE_OBJECTIVE_FRACTION = 0.05;
--- a/node/src/main/java/fawnlb/policy/LoadBound.java
+++ b/node/src/main/java/fawnlb/policy/LoadBound.java
@@ -18,10 +18,10 @@
     static final long UNWIDENED = 1000;
 
     static final long MAX_WIDENING = 4 * UNWIDENED;
-    /** One in ten: fewer are the ordinary spill of hot keys. */
+    /** Fewer spills than this come from hot keys, not from saturation; measured on the first site. */
     static final double SPILL_THRESHOLD = 0.1;
 
-    /** The bound is the even share times this fraction, the usual compromise between even load and stable keys. */
+    /** The bound is the even share times this fraction, 1.25, which the design sets. */
     private static final int FACTOR_NUMERATOR = 5;
 
     private static final int FACTOR_DENOMINATOR = 4;
--- a/node/src/main/java/fawnlb/policy/OutlierDetector.java
+++ b/node/src/main/java/fawnlb/policy/OutlierDetector.java
@@ -14,7 +14,7 @@
  * response ends that.
  */
 final class OutlierDetector {
-    /** Three of a zone: one or two may fail by themselves. */
+    /** Fewer may fail by themselves; measured on the first site. */
     static final int ZONE_OUTAGE_FAILURES = 3;
 
     private static final long BASE_EJECTION_NANOS = 1_000_000_000L;
--- a/node/src/main/java/fawnlb/policy/PendingQueue.java
+++ b/node/src/main/java/fawnlb/policy/PendingQueue.java
@@ -10,7 +10,7 @@
  * endpoints change and when the queue's timer fires; at most one timer is set at a time.
  */
 final class PendingQueue {
-    /** How often queued requests are tried again, in ticks of the host's clock: soon, as seen by a client. */
+    /** Queued requests are tried again at this interval. */
     private static final int RETRY_INTERVAL_TICKS = 5;
     /** A request is rejected this many ticks before its time is up, so that the answer still reaches its client. */
     private static final int REJECT_MARGIN_TICKS = 10;
--- a/node/src/main/java/fawnlb/policy/RolloutPredictor.java
+++ b/node/src/main/java/fawnlb/policy/RolloutPredictor.java
@@ -8,9 +8,9 @@
  * {@link #ROLLOUT_WINDOW_NANOS} on, the oldest ready endpoints count as next, until that long after the last drain.
  */
 final class RolloutPredictor {
-    /** Two drains within ten seconds are a rollout; a single endpoint may drain for a reason of its own. */
+    /** Two drains within this time are a rollout; a single one may have a reason of its own. */
     static final long ROLLOUT_WINDOW_NANOS = 10_000_000_000L;
-    /** Three endpoints drain in about the time of a long stream. */
+    /** Measured on the first site. */
     static final int NEXT_ENDPOINTS = 3;
 
     private long lastDrainAt = Long.MIN_VALUE / 2;
--- a/node/src/main/java/fawnlb/policy/SlowStart.java
+++ b/node/src/main/java/fawnlb/policy/SlowStart.java
@@ -16,7 +16,7 @@
  */
 final class SlowStart {
     private static final double SECOND = 1e9;
-    /** Work sent is averaged over about ten seconds: several requests for each endpoint of a small fleet. */
+    /** The work that this instance sends is averaged over about ten seconds. */
     private static final double WORK_RATE_NANOS = 10 * SECOND;
     /** Requests over which the mean work of a request is averaged. */
     private static final int WORK_SAMPLES = 16;
--- a/node/src/main/java/fawnlb/policy/package-info.java
+++ b/node/src/main/java/fawnlb/policy/package-info.java
@@ -23,6 +23,9 @@
  *   <li>discovery: {@link fawnlb.policy.DiscoveryWatch} asks for the endpoints where they are not pushed.
  * </ul>
  *
+ * <p>Constants that name no other reason were measured on the first site; {@code docs/design/standing-test.md} says
+ * what they cost on others.
+ *
  * <p>No class here reads a clock, starts a thread or does I/O: time is an argument, in nanoseconds on one clock that
  * never goes back, and all calls come from the one thread of the host. The host draws random numbers from a seed, so
  * that the same events lead to the same actions; {@code RecordedDecisionsTest} holds the module to that.
