--- a/node/src/main/java/fawnlb/config/ConfigurationFile.java
+++ b/node/src/main/java/fawnlb/config/ConfigurationFile.java
@@ -36,10 +36,7 @@
      */
     static ConfigurationFile read(Path file) throws ConfigurationException {
         Map<String, String> values = new HashMap<>();
-        try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(file))) {
-            if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new ConfigurationException(file, null, "not a JSON object");
-            }
+        try (JsonParser parser = openObject(file)) {
             JsonFlattener.flatten(parser, "", values);
         } catch (IOException e) {
             throw ConfigurationException.unreadable(file, e);
@@ -47,6 +44,21 @@
         return new ConfigurationFile(file, values);
     }
 
+    /**
+     * Reads a file into memory and opens the JSON object that it holds.
+     *
+     * @return a parser at the object's first token
+     * @throws ConfigurationException if the file holds something else
+     * @throws IOException if the file cannot be read, or is not JSON
+     */
+    static JsonParser openObject(Path file) throws ConfigurationException, IOException {
+        JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(file));
+        if (parser.nextToken() != JsonToken.START_OBJECT) {
+            throw new ConfigurationException(file, null, "not a JSON object");
+        }
+        return parser;
+    }
+
     /** A file without settings, of which only defaults can be read. */
     static ConfigurationFile empty() {
         return new ConfigurationFile(null, Map.of());
--- a/node/src/main/java/fawnlb/config/ServerConfiguration.java
+++ b/node/src/main/java/fawnlb/config/ServerConfiguration.java
@@ -1,6 +1,5 @@
 package fawnlb.config;
 
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import fawnlb.decision.LoadBalancerSettings;
@@ -8,7 +7,6 @@
 import fawnlb.discovery.EndpointListCodec;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.List;
@@ -74,10 +72,7 @@
     private static FileContent readContent(Path file) throws ConfigurationException {
         Map<String, String> values = new HashMap<>();
         EndpointList initialEndpoints = null;
-        try (JsonParser json = new JsonFactory().createParser(Files.readAllBytes(file))) {
-            if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new ConfigurationException(file, null, "not a JSON object");
-            }
+        try (JsonParser json = ConfigurationFile.openObject(file)) {
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String name = json.currentName();
                 json.nextToken();
