--- a/node/src/main/java/fawnlb/server/EndpointPublisher.java
+++ b/node/src/main/java/fawnlb/server/EndpointPublisher.java
@@ -69,10 +69,11 @@
         if (snapshotRecorder != null) {
             snapshotRecorder.onDiscoveryUpdate(kind, list);
         }
-        requestProxy.onEndpointsUpdated(
-                list == null
-                        ? new LoadBalancerEvent.EndpointsUpdated(kind, 0, List.of())
-                        : toEndpointsUpdated(kind, list));
+        if (list != null) {
+            recordStartTimes(kind, list);
+            updateBackends(list);
+        }
+        requestProxy.onEndpointsUpdated(toEndpointsUpdated(kind, list));
         readiness.onDiscoveryUpdate(kind);
     }
 
@@ -81,16 +82,18 @@
         startTimes.recordContact(timers.now());
     }
 
-    private LoadBalancerEvent.EndpointsUpdated toEndpointsUpdated(EndpointUpdateKind kind, EndpointList list) {
+    private void recordStartTimes(EndpointUpdateKind kind, EndpointList list) {
         startTimes.recordStarts(list, timers.now());
         if (kind != EndpointUpdateKind.CACHED) {
             startTimes.recordContact(timers.now());
         }
+    }
+
+    private void updateBackends(EndpointList list) {
         if (list.complete()) {
             backends.retainOnly(
                     list.endpoints().stream().map(DiscoveredEndpoint::numericId).collect(Collectors.toSet()));
         }
-        List<Endpoint> endpoints = new ArrayList<>();
         for (DiscoveredEndpoint discovered : list.endpoints()) {
             backends.updateBackend(
                     discovered.numericId(),
@@ -98,8 +101,16 @@
                     discovered.upSinceMillis(),
                     discovered.phase(),
                     messagesApiKinds.contains(discovered.kind()) ? Dialect.MESSAGES : Dialect.CHAT);
-            endpoints.add(toEndpoint(discovered));
         }
+    }
+
+    /** The event for an update; an update without a list says that nothing has come. */
+    private LoadBalancerEvent.EndpointsUpdated toEndpointsUpdated(EndpointUpdateKind kind, EndpointList list) {
+        if (list == null) {
+            return new LoadBalancerEvent.EndpointsUpdated(kind, 0, List.of());
+        }
+        List<Endpoint> endpoints = new ArrayList<>();
+        list.endpoints().forEach(discovered -> endpoints.add(toEndpoint(discovered)));
         return new LoadBalancerEvent.EndpointsUpdated(kind, list.revision(), endpoints);
     }
 
