--- a/node/src/main/java/fawnlb/client/package-info.java
+++ b/node/src/main/java/fawnlb/client/package-info.java
@@ -4,8 +4,9 @@
  * <p>A {@link fawnlb.client.Listener} accepts connections and passes them to the
  * {@link fawnlb.client.ClientConnectionTracker}, which limits them and closes idle ones. Undertow parses the requests.
  * {@link fawnlb.client.ClientRequestHandler} checks each request first and passes it to the handler of its protocol, in
- * {@code fawnlb.platform} or {@code fawnlb.messages}. That handler creates a {@link fawnlb.client.ClientExchange},
- * which sends the response that {@code fawnlb.proxy} chooses, in the format of a
+ * {@code fawnlb.platform} or {@code fawnlb.messages}. That handler passes the request to the
+ * {@link fawnlb.client.RequestForwarder}, which submits it to {@code fawnlb.proxy} together with a
+ * {@link fawnlb.client.ClientExchange}. The exchange sends the response that the proxy chooses, in the format of a
  * {@link fawnlb.client.ResponseFormatter}.
  *
  * <p>Everything runs on the I/O thread that serves the connections, except where a class is marked as thread-safe or a
