--- a/node/src/test/java/fawnlb/http/ResponseParserTest.java
+++ b/node/src/test/java/fawnlb/http/ResponseParserTest.java
@@ -48,7 +48,8 @@
             closing(OK + "Connection:\r\n close\r\nContent-Length: 1\r\n\r\na", 200, "a"),
             persistent(
                     OK
-                            + "TRANSFER-ENCODING: CHUNKED\r\n\r\n00003 ; a=\"x;y\\\"z\";b\r\nabc\r\n0;q=\"\"\r\nA: b\r\nC: d\r\n\r\n",
+                            + "TRANSFER-ENCODING: CHUNKED\r\n\r\n"
+                            + "00003 ; a=\"x;y\\\"z\";b\r\nabc\r\n0;q=\"\"\r\nA: b\r\nC: d\r\n\r\n",
                     200,
                     "abc"));
 
