--- a/node/src/main/java/fawnlb/http/RequestBodyReceiver.java
+++ b/node/src/main/java/fawnlb/http/RequestBodyReceiver.java
@@ -117,45 +117,52 @@
     }
 
     /**
-     * Reads one buffer of bytes, at first those that Undertow read together with the head. Returns false if no bytes
+     * Decodes one buffer of bytes, at first those that Undertow read together with the head. Returns false if no bytes
      * are available now.
      */
     private boolean readOnce() {
-        PooledByteBuffer pooled = connection.getExtraBytes();
+        PooledByteBuffer readAhead = connection.getExtraBytes();
         connection.setExtraBytes(null);
-        boolean keepBuffer = false;
+        PooledByteBuffer pooled =
+                readAhead == null ? connection.getByteBufferPool().allocate() : readAhead;
+        boolean isBodyComplete;
+        boolean belongsToNextRequest = false;
         try {
-            if (pooled == null) {
-                pooled = connection.getByteBufferPool().allocate();
-                int count = connection.getOriginalSourceConduit().read(pooled.getBuffer());
-                pooled.getBuffer().flip();
-                if (count <= 0) {
-                    onNoBytes(count);
-                    return false;
-                }
+            if (readAhead == null && !read(pooled.getBuffer())) {
+                return false;
             }
-            if (decode(pooled.getBuffer())) {
-                keepBuffer = pooled.getBuffer().hasRemaining();
-                if (keepBuffer) {
-                    // The bytes belong to the next request on the connection.
-                    connection.setExtraBytes(pooled);
-                }
-                complete();
+            isBodyComplete = decodeOrReject(pooled.getBuffer());
+            belongsToNextRequest = isBodyComplete && pooled.getBuffer().hasRemaining();
+            if (belongsToNextRequest) {
+                connection.setExtraBytes(pooled);
             }
-        } catch (InvalidRequestException e) {
-            reject(e);
-        } catch (ResourceExhaustedException e) {
-            reject(e);
-        } catch (IOException e) {
-            onClientDisconnected();
         } finally {
-            if (!keepBuffer && pooled != null) {
+            if (!belongsToNextRequest) {
                 pooled.close();
             }
         }
+        if (isBodyComplete) {
+            complete();
+        }
         return true;
     }
 
+    /** Reads from the connection, and returns whether that brought any bytes. */
+    private boolean read(ByteBuffer buffer) {
+        int count;
+        try {
+            count = connection.getOriginalSourceConduit().read(buffer);
+        } catch (IOException e) {
+            onClientDisconnected();
+            return false;
+        }
+        buffer.flip();
+        if (count <= 0) {
+            onNoBytes(count);
+        }
+        return count > 0;
+    }
+
     private void onNoBytes(int count) {
         if (count < 0) {
             onClientDisconnected();
@@ -164,6 +171,17 @@
         }
     }
 
+    private boolean decodeOrReject(ByteBuffer input) {
+        try {
+            return decode(input);
+        } catch (InvalidRequestException e) {
+            reject(e);
+        } catch (ResourceExhaustedException e) {
+            reject(e);
+        }
+        return false;
+    }
+
     /** Returns true once the body is complete. Bytes that follow the body stay in the input. */
     private boolean decode(ByteBuffer input) throws InvalidRequestException, ResourceExhaustedException {
         try {
