--- a/node/src/test/java/fawnlb/DocumentationTest.java
+++ b/node/src/test/java/fawnlb/DocumentationTest.java
@@ -26,6 +26,10 @@
     /** A class of the node or of the lab with its package, perhaps with a member. */
     private static final Pattern QUALIFIED_CLASS = Pattern.compile("`([a-z]+)\\.([A-Z][A-Za-z]+)(\\.[A-Za-z_]+)?`");
 
+    /** A test class, perhaps with a test, whose name may be cut with three dots. */
+    private static final Pattern TEST =
+            Pattern.compile("`([A-Z][A-Za-z]+(?:Test|IT))(?:\\.([a-z][A-Za-z]+)(\\.\\.\\.)?)?`");
+
     private static final Path LAB_SOURCES = ROOT.resolve("lab/src/main/java/fawnlb/lab");
     private static final Path ON_CALL_PAGE = ROOT.resolve("docs/operations/on-call.md");
     /** The arguments of a call that begins a log line. */
@@ -106,6 +110,37 @@
         assertEquals(List.of(), missing);
     }
 
+    @Test
+    public void testsNamedOnAnyPageExist() throws IOException {
+        String tests = testSources();
+        List<String> missing = new ArrayList<>();
+        for (Path page : pages()) {
+            for (Matcher matcher = TEST.matcher(Files.readString(page)); matcher.find(); ) {
+                String method = matcher.group(2) == null
+                        ? ""
+                        : " void " + matcher.group(2) + (matcher.group(3) == null ? "(" : "");
+                if (!tests.contains("class " + matcher.group(1) + " ") || !tests.contains(method)) {
+                    missing.add(page + " names " + matcher.group());
+                }
+            }
+        }
+        assertEquals(List.of(), missing);
+    }
+
+    /** The text of all test classes of both modules. */
+    private static String testSources() throws IOException {
+        StringBuilder text = new StringBuilder();
+        for (String module : List.of("node", "lab")) {
+            try (Stream<Path> files = Files.walk(ROOT.resolve(module).resolve("src/test/java"))) {
+                for (Path file :
+                        files.filter(file -> file.toString().endsWith(".java")).toList()) {
+                    text.append(Files.readString(file));
+                }
+            }
+        }
+        return text.toString();
+    }
+
     @Test
     public void logLinesInTheCodeAreOnTheOnCallPage() throws IOException {
         String page = Files.readString(ON_CALL_PAGE);
