--- a/lab/src/test/java/fawnlb/lab/load/LoadStatisticsTest.java
+++ b/lab/src/test/java/fawnlb/lab/load/LoadStatisticsTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void firstEventOfTheRunIsKeptAndLongTimesAreLimited() {
+    public void firstEventOfTheRunIsRecordedAndLongTimesAreLimited() {
         statistics.onFirstEvent(7 * NANOS_PER_SECOND, 120 * NANOS_PER_SECOND);
         statistics.onFirstEvent(9 * NANOS_PER_SECOND, NANOS_PER_SECOND);
         assertEquals(7 * NANOS_PER_SECOND, statistics.firstEventNanos());
--- a/node/src/main/java/fawnlb/discovery/DiscoveryCall.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryCall.java
@@ -94,7 +94,7 @@
         return ByteBuffer.wrap(head.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Runs the action after so long, in place of the timeout that was set before. */
+    /** Runs the action after the delay, in place of the timeout that was set before. */
     final void armTimeout(long delayNanos, Runnable action) {
         if (timeoutTimer != null) {
             timeoutTimer.cancel();
--- a/node/src/main/java/fawnlb/discovery/DiscoveryClient.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryClient.java
@@ -11,8 +11,7 @@
 
 /**
  * The client of service discovery. It watches the endpoint list on a connection that stays open, and fetches the whole
- * list on request. It makes a call only when it is told to; {@link fawnlb.membership.SubscriptionSchedule} decides
- * when.
+ * list on request. It makes a call only on request; {@link fawnlb.membership.SubscriptionSchedule} decides when.
  *
  * <p>Its methods may be called from any thread; the work is done on the I/O thread, in the order of the calls.
  */
@@ -46,15 +45,15 @@
                 new DiscoveryCall.Context(ioThread, timers, mailbox, receiver, new DiscoveryFailureLog(timers));
     }
 
-    /** Starts from the list that the instance last held, before any call is made. */
+    /** Starts from the endpoint list that the instance last held, before any call is made. */
     public void startFromCachedList(EndpointList cachedList) {
         mailbox.tellAlways(() -> receiver.startFrom(cachedList));
     }
 
     /**
-     * Takes the list from another address from here on. The watch moves at once, whether it is open or waits to be
-     * opened again: a change counts as notified soon after discovery has it, and the old address does not tell of it
-     * any more.
+     * Takes the endpoint list from another address from here on. The watch moves at once, whether it is open or waits
+     * to be opened again: a change counts as notified soon after discovery has it, and the old address does not tell of
+     * it any more.
      */
     public void changeAddress(InetSocketAddress newAddress) {
         mailbox.tellAlways(() -> {
--- a/node/src/main/java/fawnlb/discovery/DiscoveryListener.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryListener.java
@@ -8,8 +8,8 @@
     /**
      * Takes a list, or learns that a call has failed.
      *
-     * @param kind what the list holds, or how the call failed
-     * @param list the list; null if the call failed
+     * @param kind what the endpoint list holds, or how the call failed
+     * @param list the endpoint list; null if the call failed
      */
     void onDiscoveryUpdate(EndpointUpdateKind kind, EndpointList list);
 
--- a/node/src/main/java/fawnlb/discovery/DiscoveryTimeouts.java
+++ b/node/src/main/java/fawnlb/discovery/DiscoveryTimeouts.java
@@ -20,10 +20,11 @@
     /** The wait for a heartbeat, without the grace. */
     static final long HEARTBEAT_TIMEOUT_NANOS = HEARTBEAT_INTERVAL_NANOS + HEARTBEAT_TOLERANCE_NANOS;
     /**
-     * After so long without input a watch counts as failed. It stays open until the next call is made, and may resume.
+     * After this time without input a watch counts as failed. It stays open until the next call is made, and may
+     * resume.
      */
     static final long WATCH_SILENCE_TIMEOUT_NANOS = HEARTBEAT_TIMEOUT_NANOS + UNREAD_INPUT_GRACE_NANOS;
-    /** A call that is refused after so long has queued at the service. */
+    /** A call that is refused after this time has queued at the service. */
     static final long MIN_QUEUED_NANOS = NANOS_PER_SECOND;
 
     private DiscoveryTimeouts() {}
--- a/node/src/main/java/fawnlb/discovery/EndpointList.java
+++ b/node/src/main/java/fawnlb/discovery/EndpointList.java
@@ -6,7 +6,7 @@
  * A list of endpoints from discovery.
  *
  * @param revision discovery's count of changes, as of this list
- * @param complete whether the list names all endpoints; otherwise it names those that have changed
+ * @param complete whether the endpoint list names all endpoints; otherwise it names those that have changed
  * @param endpoints the endpoints; one that has left is named with the phase GONE
  */
 public record EndpointList(long revision, boolean complete, List<DiscoveredEndpoint> endpoints) {
--- a/node/src/main/java/fawnlb/discovery/EndpointListCodec.java
+++ b/node/src/main/java/fawnlb/discovery/EndpointListCodec.java
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Reads the list at whose first token the parser stands.
+     * Reads the endpoint list at whose first token the parser stands.
      *
      * @throws EndpointListFormatException if it is no list
      * @throws IOException if the parser can't read on
--- a/node/src/main/java/fawnlb/discovery/EndpointListFormatException.java
+++ b/node/src/main/java/fawnlb/discovery/EndpointListFormatException.java
@@ -8,7 +8,7 @@
 public final class EndpointListFormatException extends IOException {
     private static final long serialVersionUID = 1;
 
-    /** What is wrong with the list. */
+    /** What is wrong with the endpoint list. */
     public enum Reason {
         /** The text is no JSON, or a field has a value of the wrong type. */
         MALFORMED,
@@ -20,7 +20,7 @@
         INCOMPLETE,
         /** An endpoint has no identifier, or no numeric address and port. */
         INVALID_ENDPOINT,
-        /** The changes are older than the list that is held. */
+        /** The changes are older than the endpoint list that is held. */
         STALE_REVISION
     }
 
--- a/node/src/main/java/fawnlb/discovery/EndpointListReceiver.java
+++ b/node/src/main/java/fawnlb/discovery/EndpointListReceiver.java
@@ -5,8 +5,8 @@
 import fawnlb.eventloop.EventLoopOnly;
 
 /**
- * Decides what a list that has come in means for the list that is held, and hands it to the listener. It keeps the
- * revision from which the next watch starts. It belongs to the I/O thread of the {@link DiscoveryClient}.
+ * Decides what a list that has come in means for the endpoint list that is held, and hands it to the listener. It keeps
+ * the revision from which the next watch starts. It belongs to the I/O thread of the {@link DiscoveryClient}.
  */
 @EventLoopOnly
 final class EndpointListReceiver {
@@ -17,12 +17,12 @@
         this.listener = listener;
     }
 
-    /** The revision of the list that is held; 0 asks discovery for the whole list. */
+    /** The revision of the endpoint list that is held; 0 asks discovery for the whole list. */
     long revision() {
         return revision;
     }
 
-    /** Takes the list that the instance held when it last ran. */
+    /** Takes the endpoint list that the instance held when it last ran. */
     void startFrom(EndpointList cachedList) {
         revision = cachedList.revision();
         listener.onDiscoveryUpdate(EndpointUpdateKind.CACHED, cachedList);
@@ -72,7 +72,7 @@
         listener.onHeartbeat();
     }
 
-    /** A call has failed in this way, and the list that is held stands. */
+    /** A call has failed in this way, and the endpoint list that is held stands. */
     void callFailed(EndpointUpdateKind kind) {
         listener.onDiscoveryUpdate(kind, null);
     }
--- a/node/src/main/java/fawnlb/discovery/WatchCall.java
+++ b/node/src/main/java/fawnlb/discovery/WatchCall.java
@@ -6,9 +6,9 @@
 import java.net.InetSocketAddress;
 
 /**
- * Watches the changes of the list on a response that does not end. A watch whose heartbeat is missed is reported as a
- * failed call, so that another is made; it stays open until then, since a false alarm costs nothing if the watch
- * resumes before.
+ * Watches the changes of the endpoint list on a response that does not end. A watch whose heartbeat is missed is
+ * reported as a failed call, so that another is made; it stays open until then, since a false alarm costs nothing if
+ * the watch resumes before.
  */
 final class WatchCall extends DiscoveryCall {
     private static final String NAME = "watch";
--- a/node/src/main/java/fawnlb/filter/EndpointFilter.java
+++ b/node/src/main/java/fawnlb/filter/EndpointFilter.java
@@ -8,7 +8,7 @@
  * and every other event before the load balancer does, and decides what the next step is to know of each endpoint.
  *
  * <p>An update that a filter makes of its own accord has the kind {@link fawnlb.decision.EndpointUpdateKind#FILTERED}:
- * it changes the endpoints that it names and says nothing of whether the list is being watched.
+ * it changes the endpoints that it names and says nothing of whether the endpoint list is being watched.
  *
  * <p>A filter does no I/O and reads no clock. Times are nanoseconds on the instance's clock, which never goes back. All
  * methods are called on the load balancer's thread.
--- a/node/src/main/java/fawnlb/membership/SubscriptionSchedule.java
+++ b/node/src/main/java/fawnlb/membership/SubscriptionSchedule.java
@@ -58,7 +58,7 @@
     /** The same after a throttled call. The range is wider, to spread instances whose calls came together. */
     private static final double MIN_BACKOFF_FRACTION_AFTER_THROTTLE = 0.2;
 
-    /** A base backoff lets so many calls be made before the list becomes too old. */
+    /** A base backoff allows this number of calls before the endpoint list becomes too old. */
     private static final int MIN_CALLS_PER_POLL_DEADLINE = 5;
 
     private final int instanceCount;
--- a/node/src/main/java/fawnlb/restore/EmptyListHold.java
+++ b/node/src/main/java/fawnlb/restore/EmptyListHold.java
@@ -37,17 +37,17 @@
         heldUpdate = update;
     }
 
-    /** When the list is to be applied; {@link EndpointFilter#NEVER} if none is held. */
+    /** When the endpoint list is to be applied; {@link EndpointFilter#NEVER} if none is held. */
     long heldUntil() {
         return heldUntil;
     }
 
-    /** The version of the list that is held. */
+    /** The version of the endpoint list that is held. */
     long heldVersion() {
         return heldUpdate.version();
     }
 
-    /** Forgets the list that is held. */
+    /** Forgets the endpoint list that is held. */
     void release() {
         heldUpdate = null;
         heldUntil = EndpointFilter.NEVER;
--- a/node/src/main/java/fawnlb/restore/RestoredEndpoint.java
+++ b/node/src/main/java/fawnlb/restore/RestoredEndpoint.java
@@ -85,7 +85,8 @@
     }
 
     /**
-     * A healthy endpoint's faults are the load balancer's to judge; only one that refuses connects may come back cold.
+     * A healthy endpoint's faults are the load balancer's to judge; only one that refuses connects may come back in
+     * slow start.
      */
     private boolean isFailure(AttemptOutcome outcome) {
         return switch (outcome) {
--- a/node/src/main/java/fawnlb/restore/RestoredEndpointFilter.java
+++ b/node/src/main/java/fawnlb/restore/RestoredEndpointFilter.java
@@ -18,10 +18,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Limits what is sent to restored endpoints until discovery has answered. Each counts as cold until it has responded: a
- * few requests of this instance may wait there for their first token and no more, so that its own responses pace what
- * is sent to it. Requests whose response has started do not count, since they are no new work. What discovery says
- * replaces all of it at once.
+ * Limits what is sent to restored endpoints until discovery has answered. Each counts as being in slow start until it
+ * has responded: a few requests of this instance may wait there for their first token and no more, so that its own
+ * responses pace what is sent to it. Requests whose response has started do not count, since they are no new work. What
+ * discovery says replaces all of it at once.
  *
  * <p>{@link RestoredEndpointState} has the states of an endpoint, and {@link TrialAdmission} decides which are tried.
  */
@@ -44,7 +44,7 @@
     private boolean discoveryAnswered;
 
     /**
-     * Creates a filter that has restored nothing yet; the endpoints come as the list of the kind CACHED.
+     * Creates a filter that has restored nothing yet; the endpoints come as the endpoint list of the kind CACHED.
      *
      * @param seed decides which of equally likely endpoints are tried first, so that instances differ
      * @param lastContactAt when each endpoint was last listed or has last responded, in nanoseconds on the instance's
@@ -160,7 +160,7 @@
         return endpoints;
     }
 
-    /** The list that is held was empty: now that there is another endpoint, all that it left out are gone. */
+    /** The endpoint list that is held was empty: now that there is another endpoint, all that it left out are gone. */
     private List<Endpoint> withoutUnnamedEndpoints(EndpointsUpdated update) {
         Set<Long> presentIds = update.endpoints().stream()
                 .filter(endpoint -> endpoint.phase() != EndpointPhase.GONE)
--- a/node/src/main/java/fawnlb/server/RestoredEndpoints.java
+++ b/node/src/main/java/fawnlb/server/RestoredEndpoints.java
@@ -15,10 +15,10 @@
  * The endpoints that a server starts from.
  *
  * @param snapshot the snapshot that they come from, null if they come from the configuration
- * @param lastHeardNanos when discovery or a backend last confirmed each endpoint, by the endpoint's id, in nanoseconds
- *     since the epoch; endpoints for which that is not known are missing
+ * @param lastContactAtNanos when discovery or a backend last confirmed each endpoint, by the endpoint's id, in
+ *     nanoseconds since the epoch; endpoints for which that is not known are missing
  */
-record RestoredEndpoints(EndpointList endpointList, Snapshot snapshot, Map<Long, Long> lastHeardNanos) {
+record RestoredEndpoints(EndpointList endpointList, Snapshot snapshot, Map<Long, Long> lastContactAtNanos) {
     private static final Logger LOG = Logger.getLogger(RestoredEndpoints.class.getName());
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long MILLIS_PER_SECOND = 1000;
@@ -29,7 +29,7 @@
      * Reads the newest usable generation of the snapshot. If there is none, or if the clock says that it comes from the
      * future, the configured list is used where it has endpoints. What cannot be read is logged.
      *
-     * @param configuredList the list of the configuration file, null if it has none
+     * @param configuredList the endpoint list of the configuration file, null if it has none
      * @param nowNanos nanoseconds since the epoch
      */
     static RestoredEndpoints read(StartupConfiguration startup, EndpointList configuredList, long nowNanos) {
@@ -56,15 +56,15 @@
         List<Entry> recent = snapshot.entries().stream()
                 .filter(entry -> found.isFromFuture() || nowNanos - lastContactNanos(entry) <= maxAgeNanos)
                 .toList();
-        Map<Long, Long> lastHeardNanos = new HashMap<>();
+        Map<Long, Long> lastContactAtNanos = new HashMap<>();
         if (!found.isFromFuture()) {
-            recent.forEach(entry -> lastHeardNanos.put(entry.endpoint().numericId(), lastContactNanos(entry)));
+            recent.forEach(entry -> lastContactAtNanos.put(entry.endpoint().numericId(), lastContactNanos(entry)));
         }
         logRestored(found, recent.size(), nowNanos);
         return new RestoredEndpoints(
                 new EndpointList(0, true, recent.stream().map(Entry::endpoint).toList()),
                 new Snapshot(snapshot.savedAtMillis(), snapshot.revision(), recent),
-                lastHeardNanos);
+                lastContactAtNanos);
     }
 
     private static long lastContactNanos(Entry entry) {
--- a/node/src/main/java/fawnlb/server/Server.java
+++ b/node/src/main/java/fawnlb/server/Server.java
@@ -193,7 +193,7 @@
         }
         if (!startup.isListTrusted()) {
             filters.add(new RestoredEndpointFilter(
-                    startup.restoreRules(), configuration.seed(), restored.lastHeardNanos(), LOG::info));
+                    startup.restoreRules(), configuration.seed(), restored.lastContactAtNanos(), LOG::info));
         }
         return filters;
     }
--- a/node/src/main/java/fawnlb/snapshot/SnapshotRecorder.java
+++ b/node/src/main/java/fawnlb/snapshot/SnapshotRecorder.java
@@ -19,9 +19,8 @@
 import java.util.Set;
 
 /**
- * Collects what a snapshot holds: it is told of each list from discovery, and sees each response that starts. As a
- * filter it changes nothing. Its public methods may be called from any thread; the work is done on the thread of its
- * mailbox.
+ * Collects what a snapshot holds: it receives each list from discovery, and sees each response that starts. As a filter
+ * it changes nothing. Its public methods may be called from any thread; the work is done on the thread of its mailbox.
  */
 @ThreadSafe
 public final class SnapshotRecorder implements EndpointFilter {
@@ -62,7 +61,7 @@
     /**
      * Takes what discovery says. A whole list that names nobody is ignored: an instance could not start from it.
      *
-     * @param list the list; null if a call has failed
+     * @param list the endpoint list; null if a call has failed
      */
     public void onDiscoveryUpdate(EndpointUpdateKind kind, EndpointList list) {
         if (list == null || kind == EndpointUpdateKind.CACHED) {
--- a/node/src/test/java/fawnlb/backend/BackendPoolHarness.java
+++ b/node/src/test/java/fawnlb/backend/BackendPoolHarness.java
@@ -1,5 +1,7 @@
 package fawnlb.backend;
 
+import static org.junit.Assert.assertTrue;
+
 import fawnlb.decision.EndpointPhase;
 import fawnlb.eventloop.EventLoopTimers;
 import fawnlb.proxy.Backends;
@@ -127,6 +129,17 @@
         return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
     }
 
+    /** Returns the request id of the next request's head, in which it stands on the third line. */
+    static String readRequestId(Socket socket) throws IOException {
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
+        in.readLine();
+        in.readLine();
+        String header = in.readLine();
+        assertTrue(header, header.startsWith("X-Request-Id: "));
+        return header.substring("X-Request-Id: ".length());
+    }
+
     /** Reads the head of a request up to the given header, and returns the header's value. */
     static String readHeader(Socket socket, String name) throws IOException {
         BufferedReader in =
--- a/node/src/test/java/fawnlb/backend/BackendPoolTest.java
+++ b/node/src/test/java/fawnlb/backend/BackendPoolTest.java
@@ -3,7 +3,7 @@
 import static fawnlb.backend.BackendPoolHarness.SECOND_NANOS;
 import static fawnlb.backend.BackendPoolHarness.addressOf;
 import static fawnlb.backend.BackendPoolHarness.listen;
-import static fawnlb.backend.BackendPoolHarness.readHeader;
+import static fawnlb.backend.BackendPoolHarness.readRequestId;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNotNull;
 import static org.junit.Assert.assertTrue;
@@ -59,13 +59,13 @@
                 harness.startAttempt(1, "first");
             });
             try (Socket first = server.accept()) {
-                assertEquals("first", readHeader(first, "X-Request-Id"));
+                assertEquals("first", readRequestId(first));
                 first.getOutputStream().write(NOT_RUN);
                 assertEquals("turned-away", harness.awaitAttemptEnd());
 
                 harness.execute(() -> harness.startAttempt(1, "next"));
                 try (Socket second = server.accept()) {
-                    assertEquals("next", readHeader(second, "X-Request-Id"));
+                    assertEquals("next", readRequestId(second));
                     first.getOutputStream().write(NOT_RUN);
 
                     assertEquals("closed by the unsolicited response", -1, readToEnd(first));
--- a/node/src/test/java/fawnlb/backend/SendGuardTest.java
+++ b/node/src/test/java/fawnlb/backend/SendGuardTest.java
@@ -4,6 +4,7 @@
 import static fawnlb.backend.BackendPoolHarness.addressOf;
 import static fawnlb.backend.BackendPoolHarness.listen;
 import static fawnlb.backend.BackendPoolHarness.readHeader;
+import static fawnlb.backend.BackendPoolHarness.readRequestId;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -104,7 +105,7 @@
     private void assertOnlyNextIsSentOnConnection() throws IOException {
         startNextAttempt();
         try (Socket socket = server.accept()) {
-            assertEquals("next", readHeader(socket, "X-Request-Id"));
+            assertEquals("next", readRequestId(socket));
         }
     }
 
@@ -113,7 +114,7 @@
         startNextAttempt();
         try (Socket removed = server.accept();
                 Socket replacement = server.accept()) {
-            assertEquals("next", readHeader(replacement, "X-Request-Id"));
+            assertEquals("next", readRequestId(replacement));
             assertEquals("nothing was sent", -1, removed.getInputStream().read());
         }
     }
--- a/node/src/test/java/fawnlb/discovery/DiscoveryClientTest.java
+++ b/node/src/test/java/fawnlb/discovery/DiscoveryClientTest.java
@@ -64,7 +64,7 @@
     }
 
     @Test
-    public void refusalAtOnceIsAFailure() throws IOException, InterruptedException {
+    public void immediateRejectionCountsAsFailure() throws IOException, InterruptedException {
         long failed = calls("failed");
         harness.startWatch();
         harness.acceptCall();
@@ -76,7 +76,7 @@
     }
 
     @Test
-    public void refusalAfterAWaitMeansThatDiscoveryIsThrottled() throws IOException, InterruptedException {
+    public void rejectionAfterQueueingCountsAsThrottling() throws IOException, InterruptedException {
         long throttled = calls("crowded");
         harness.startWatch();
         harness.acceptCall();
--- a/node/src/test/java/fawnlb/discovery/EndpointStartTimesTest.java
+++ b/node/src/test/java/fawnlb/discovery/EndpointStartTimesTest.java
@@ -124,9 +124,9 @@
     public void restartResetsTheAgeAndAnOlderStartIsIgnored() {
         DiscoveredEndpoint first = endpoint(1, TRUE_TIME - 100 * NANOS_PER_SECOND);
         receiveList(TRUE_TIME, first);
-        DiscoveredEndpoint again = endpoint(1, TRUE_TIME + NANOS_PER_SECOND);
-        receiveList(TRUE_TIME + NANOS_PER_SECOND, again);
-        assertEquals(0, ageNanos(TRUE_TIME + NANOS_PER_SECOND, again));
+        DiscoveredEndpoint restarted = endpoint(1, TRUE_TIME + NANOS_PER_SECOND);
+        receiveList(TRUE_TIME + NANOS_PER_SECOND, restarted);
+        assertEquals(0, ageNanos(TRUE_TIME + NANOS_PER_SECOND, restarted));
         receiveList(TRUE_TIME + 2 * NANOS_PER_SECOND, first);
         assertEquals(NANOS_PER_SECOND, ageNanos(TRUE_TIME + 2 * NANOS_PER_SECOND, first));
     }
--- a/node/src/test/java/fawnlb/discovery/NotificationDeadlineTest.java
+++ b/node/src/test/java/fawnlb/discovery/NotificationDeadlineTest.java
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Plays the history with each seed, and checks when the list is known after what follows it. */
+    /** Plays the history with each seed, and checks when the endpoint list is known after what follows it. */
     private static void assertKnownInTime(String name, History history, LongFunction<Long> delayNanosOfSeed) {
         for (long seed = 0; seed < SEEDS; seed++) {
             long delayNanos = delayNanosOfSeed.apply(seed);
--- a/node/src/test/java/fawnlb/discovery/SimulatedInstance.java
+++ b/node/src/test/java/fawnlb/discovery/SimulatedInstance.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** A load balancer on a clock of its own, which is told how its calls to discovery go. */
+/** A load balancer on a clock of its own, to which a test reports how its calls to discovery ended. */
 final class SimulatedInstance {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
@@ -25,7 +25,7 @@
     private int calls;
     private long now = 100 * NANOS_PER_SECOND;
 
-    /** Creates one of so many instances; it starts with a cached list. */
+    /** Creates one of the given number of instances; it starts with a cached list. */
     SimulatedInstance(int instanceCount, long pollDeadlineNanos, long seed) {
         loadBalancer = new BoundedLoadBalancer(settings(instanceCount, pollDeadlineNanos), seed, this::onAction);
         receive(EndpointUpdateKind.CACHED);
@@ -91,7 +91,7 @@
         return this;
     }
 
-    /** Fails so many calls, and makes the call after each. */
+    /** Fails the given number of calls, and makes the call after each. */
     SimulatedInstance failCalls(int failures) {
         for (int i = 0; i < failures; i++) {
             receive(EndpointUpdateKind.FAILED);
--- a/node/src/test/java/fawnlb/filter/EndpointFilterChainTest.java
+++ b/node/src/test/java/fawnlb/filter/EndpointFilterChainTest.java
@@ -128,7 +128,7 @@
     }
 
     @Test
-    public void timerThatComesTooEarlyIsIgnoredAndSetAgain() {
+    public void earlyTimerIsIgnoredAndRearmed() {
         first.wakeupAt = NOW + 5;
         first.onNextWakeup = update(100);
 
--- a/node/src/test/java/fawnlb/restore/RestoredEndpointFilterTest.java
+++ b/node/src/test/java/fawnlb/restore/RestoredEndpointFilterTest.java
@@ -81,18 +81,18 @@
     }
 
     /** Takes what the filter shows to the load balancer into {@link #publishedLimits}. */
-    private EndpointsUpdated apply(EndpointsUpdated shown) {
-        if (shown == null) {
+    private EndpointsUpdated apply(EndpointsUpdated published) {
+        if (published == null) {
             return null;
         }
-        if (shown.kind() == EndpointUpdateKind.FULL || shown.kind() == EndpointUpdateKind.CACHED) {
+        if (published.kind() == EndpointUpdateKind.FULL || published.kind() == EndpointUpdateKind.CACHED) {
             publishedLimits.clear();
         }
-        shown.endpoints().forEach(endpoint -> publishedLimits.put(endpoint.id(), endpoint.capacity()));
-        shown.endpoints().stream()
+        published.endpoints().forEach(endpoint -> publishedLimits.put(endpoint.id(), endpoint.capacity()));
+        published.endpoints().stream()
                 .filter(endpoint -> endpoint.phase() == EndpointPhase.GONE)
                 .forEach(endpoint -> publishedLimits.remove(endpoint.id()));
-        return shown;
+        return published;
     }
 
     private EndpointsUpdated receive(RestoredEndpointFilter filter, long at, EndpointsUpdated update) {
@@ -301,9 +301,9 @@
         long heldUntil = NOW + 5 * NANOS_PER_SECOND;
         RestoredEndpointFilter filter = startHoldingEmptyLists(5 * NANOS_PER_SECOND, 1, 2);
 
-        EndpointsUpdated shown = receive(filter, NOW, update(EndpointUpdateKind.FULL));
+        EndpointsUpdated published = receive(filter, NOW, update(EndpointUpdateKind.FULL));
 
-        assertEquals("the watch counts as open", EndpointUpdateKind.DELTA, shown.kind());
+        assertEquals("the watch counts as open", EndpointUpdateKind.DELTA, published.kind());
         assertEquals(2, publishedLimits.size());
         receive(filter, NOW + NANOS_PER_SECOND, update(EndpointUpdateKind.FULL));
         assertEquals("a second empty list does not extend the hold", heldUntil, filter.nextWakeupAt());
--- a/node/src/test/java/fawnlb/server/DiscoveryUpdateTest.java
+++ b/node/src/test/java/fawnlb/server/DiscoveryUpdateTest.java
@@ -45,7 +45,9 @@
         }
     }
 
-    /** The agent that is given the list still has to be watched, since the pushed list is only the first one. */
+    /**
+     * The agent that is given the endpoint list still has to be watched, since the pushed list is only the first one.
+     */
     @Test
     public void pushedEndpointListIsFollowed() throws Exception {
         try (FakeHttpServer before = FakeHttpServer.responding(COMPLETE_STREAM);
