--- a/node/src/main/java/fawnlb/decision/LoadBalancerSettings.java
+++ b/node/src/main/java/fawnlb/decision/LoadBalancerSettings.java
@@ -31,39 +31,6 @@
         Names names,
         ConnectionTimeouts connectionTimeouts) {
 
-    /** Settings without names and connections, for a host that has no sockets. */
-    public LoadBalancerSettings(
-            int instanceIndex,
-            int instances,
-            int zone,
-            long tickNanos,
-            boolean streamResumption,
-            DiscoveryMode discoveryMode,
-            LoadReporting loadReporting,
-            List<String> loadReportFields,
-            List<RequestClass> requestClasses,
-            List<Tenant> tenants,
-            Limits limits,
-            EndpointLifecycle endpointLifecycle,
-            Costs costs) {
-        this(
-                instanceIndex,
-                instances,
-                zone,
-                tickNanos,
-                streamResumption,
-                discoveryMode,
-                loadReporting,
-                loadReportFields,
-                requestClasses,
-                tenants,
-                limits,
-                endpointLifecycle,
-                costs,
-                new Names(List.of(), List.of(), List.of(), List.of()),
-                new ConnectionTimeouts(0, 0));
-    }
-
     /** Returns the class with this number; if there is none, one whose requests may run once and have no objective. */
     public RequestClass requestClass(int classIndex) {
         return classIndex >= 0 && classIndex < requestClasses.size()
--- a/node/src/test/java/fawnlb/discovery/SimulatedInstance.java
+++ b/node/src/test/java/fawnlb/discovery/SimulatedInstance.java
@@ -46,7 +46,9 @@
                 new LoadBalancerSettings.Limits(4, 1000, false, true, false, false, NANOS_PER_SECOND),
                 new LoadBalancerSettings.EndpointLifecycle(
                         NANOS_PER_SECOND, pollDeadlineNanos, 0.3, 9 * NANOS_PER_SECOND, 2.5, NANOS_PER_SECOND),
-                new LoadBalancerSettings.Costs(0, 0));
+                new LoadBalancerSettings.Costs(0, 0),
+                new LoadBalancerSettings.Names(List.of(), List.of(), List.of(), List.of()),
+                new LoadBalancerSettings.ConnectionTimeouts(0, 0));
     }
 
     private static LoadBalancerSettings.RequestClass requestClass() {
--- a/node/src/test/java/fawnlb/policy/TestSettings.java
+++ b/node/src/test/java/fawnlb/policy/TestSettings.java
@@ -6,11 +6,13 @@
 import fawnlb.decision.Idempotency;
 import fawnlb.decision.IdempotencyScope;
 import fawnlb.decision.LoadBalancerSettings;
+import fawnlb.decision.LoadBalancerSettings.ConnectionTimeouts;
 import fawnlb.decision.LoadBalancerSettings.Costs;
 import fawnlb.decision.LoadBalancerSettings.DiscoveryMode;
 import fawnlb.decision.LoadBalancerSettings.EndpointLifecycle;
 import fawnlb.decision.LoadBalancerSettings.Limits;
 import fawnlb.decision.LoadBalancerSettings.LoadReporting;
+import fawnlb.decision.LoadBalancerSettings.Names;
 import fawnlb.decision.LoadBalancerSettings.RequestClass;
 import fawnlb.decision.LoadBalancerSettings.Tenant;
 import java.util.List;
@@ -87,6 +89,8 @@
                 tenants,
                 limits,
                 endpointLifecycle,
-                costs);
+                costs,
+                new Names(List.of(), List.of(), List.of(), List.of()),
+                new ConnectionTimeouts(0, 0));
     }
 }
