--- a/node/src/main/java/fawnlb/messages/BrokerHandler.java
+++ b/node/src/main/java/fawnlb/messages/BrokerHandler.java
@@ -1,6 +1,5 @@
 package fawnlb.messages;
 
-import fawnlb.backend.OutboundRequest;
 import fawnlb.backend.OutboundRequest.ResponseSummary;
 import fawnlb.client.InFlightRequestIds;
 import fawnlb.client.RequestForwarder;
@@ -8,12 +7,11 @@
 import fawnlb.contract.Contract;
 import fawnlb.contract.Contracts;
 import fawnlb.decision.LoadBalancerSettings;
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Timers;
 import fawnlb.http.InvalidRequestException;
 import fawnlb.http.RequestBodyReader;
-import fawnlb.proxy.IncomingRequest;
 import fawnlb.proxy.RequestProxy;
-import fawnlb.translation.CompletionRequest;
 import fawnlb.translation.Dialect;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
@@ -26,6 +24,7 @@
  * Handles the requests of teams' services. Clients speak either dialect. A request is admitted if a contract has its
  * key, allows its class and model, and has enough budget; then the proxy forwards it like the platform's requests.
  */
+@EventLoopOnly
 public final class BrokerHandler implements HttpHandler {
     private static final HttpString RESPONSE_REQUEST_ID = new HttpString("request-id");
 
@@ -37,7 +36,7 @@
     private final Timers timers;
     private final RequestLog requestLog;
 
-    /** The collaborators are shared with other handlers, apart from the contracts and the log. */
+    /** Creates a handler. The collaborators are shared with other handlers, apart from the contracts and the log. */
     public BrokerHandler(
             RequestProxy requestProxy,
             RequestBodyReader bodyReader,
@@ -88,26 +87,30 @@
         Contract contract = authenticate(exchange);
         record.setTeam(contract.team());
         ResponseSummary responseSummary = ResponseSummary.withUsage();
-        CompletionRequest completion;
-        IncomingRequest request;
+        BrokerRequest request = read(exchange, contract, record, responseSummary, body);
+        checkContract(contract, record, request.maxTokens());
+        registerId(exchange, record);
+        ReservedBudget budget = reserve(contract.budget(), request.maxTokens());
+        boolean streaming = request.completion().stream();
+        exchange.getResponseHeaders().put(RESPONSE_REQUEST_ID, record.id());
+        forwarder.forward(
+                exchange,
+                request.incoming(),
+                new BrokerResponseFormatter(record, streaming, responseSummary, budget, requestLog, timers));
+    }
+
+    private BrokerRequest read(
+            HttpServerExchange exchange,
+            Contract contract,
+            RequestRecord record,
+            ResponseSummary responseSummary,
+            byte[] body)
+            throws RequestRejectedException {
         try {
-            completion = CompletionRequest.decode(record.dialect(), body);
-            record.setClassAndModel(BrokerRequestReader.requestClass(exchange, contract), completion.model());
-            requestReader.checkClassIsServed(record.requestClass(), contract);
-            OutboundRequest outbound =
-                    BrokerRequestReader.outboundRequest(exchange, record, completion, responseSummary, body);
-            request = requestReader.incomingRequest(exchange, contract, record, completion, outbound);
+            return requestReader.read(exchange, contract, record, responseSummary, body);
         } catch (InvalidRequestException e) {
             throw new RequestRejectedException(e.status(), e.getMessage());
         }
-        long maxTokens = completion.promptTokens() + completion.sampling().maxTokens();
-        checkContract(contract, record, maxTokens);
-        registerId(exchange, record);
-        ReservedBudget budget = reserve(contract.budget(), maxTokens);
-        forward(
-                exchange,
-                request,
-                new BrokerResponseFormatter(record, completion.stream(), responseSummary, budget, requestLog, timers));
     }
 
     private Contract authenticate(HttpServerExchange exchange) throws RequestRejectedException {
@@ -143,11 +146,6 @@
         return new ReservedBudget(budget, reservation);
     }
 
-    private void forward(HttpServerExchange exchange, IncomingRequest request, BrokerResponseFormatter formatter) {
-        exchange.getResponseHeaders().put(RESPONSE_REQUEST_ID, formatter.requestId());
-        forwarder.forward(exchange, request, formatter);
-    }
-
     private void reject(HttpServerExchange exchange, Dialect dialect, int status, String text) {
         reject(exchange, startRecord(exchange, dialect), new RequestRejectedException(status, text));
     }
--- a/node/src/main/java/fawnlb/messages/BrokerRequestReader.java
+++ b/node/src/main/java/fawnlb/messages/BrokerRequestReader.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
 
-/** Reads what the broker needs from a request's headers. Stateless. */
+/** Reads teams' requests: from a head and a whole body to what the proxy forwards. Stateless. */
 final class BrokerRequestReader {
     private static final String CLASS = "X-Class";
     private static final String DEADLINE_MS = "X-Deadline-Ms";
@@ -54,14 +54,34 @@
                 : null;
     }
 
+    /**
+     * Reads a request, and notes its class and model in the record.
+     *
+     * @param responseSummary is filled in when the response comes
+     * @throws InvalidRequestException if headers or body are invalid; its message tells the client what is wrong
+     */
+    BrokerRequest read(
+            HttpServerExchange exchange,
+            Contract contract,
+            RequestRecord record,
+            OutboundRequest.ResponseSummary responseSummary,
+            byte[] body)
+            throws InvalidRequestException {
+        CompletionRequest completion = CompletionRequest.decode(record.dialect(), body);
+        record.setClassAndModel(requestClass(exchange, contract), completion.model());
+        checkClassIsServed(record.requestClass(), contract);
+        OutboundRequest outbound = outboundRequest(exchange, record, completion, responseSummary, body);
+        return new BrokerRequest(completion, incomingRequest(exchange, contract, record, completion, outbound));
+    }
+
     /** Returns the class that the request names, or its team's default. */
-    static String requestClass(HttpServerExchange exchange, Contract contract) {
+    private static String requestClass(HttpServerExchange exchange, Contract contract) {
         String requestClass = exchange.getRequestHeaders().getFirst(CLASS);
         return requestClass == null ? contract.classes().get(0) : requestClass;
     }
 
     /** Rejects a class that the contract allows and the settings don't have; other classes violate the contract. */
-    void checkClassIsServed(String requestClass, Contract contract) throws InvalidRequestException {
+    private void checkClassIsServed(String requestClass, Contract contract) throws InvalidRequestException {
         if (classIndex(requestClass) < 0 && contract.classes().contains(requestClass)) {
             throw invalidHeader(CLASS, "class '" + requestClass + "' is not served here");
         }
@@ -72,7 +92,7 @@
     }
 
     /** Returns the request as it is sent to backends, in the client's dialect and in the other one. */
-    static OutboundRequest outboundRequest(
+    private static OutboundRequest outboundRequest(
             HttpServerExchange exchange,
             RequestRecord record,
             CompletionRequest completion,
@@ -93,7 +113,7 @@
     }
 
     /** Returns what the load balancer decides on. */
-    IncomingRequest incomingRequest(
+    private IncomingRequest incomingRequest(
             HttpServerExchange exchange,
             Contract contract,
             RequestRecord record,
--- a/node/src/main/java/fawnlb/messages/BrokerResponseFormatter.java
+++ b/node/src/main/java/fawnlb/messages/BrokerResponseFormatter.java
@@ -4,6 +4,7 @@
 import fawnlb.client.ClientOutcome;
 import fawnlb.client.FixedResponse;
 import fawnlb.client.ResponseFormatter;
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.eventloop.Timers;
 import fawnlb.stream.AttemptEnd;
 import fawnlb.translation.ErrorBody;
@@ -13,6 +14,7 @@
  * Formats the responses to one request of a team in its client's dialect; logs the request and settles its budget at
  * the end.
  */
+@EventLoopOnly
 final class BrokerResponseFormatter implements ResponseFormatter {
     private static final String EVENT_STREAM = "text/event-stream";
     private static final String JSON = "application/json";
@@ -39,10 +41,6 @@
         this.timers = timers;
     }
 
-    String requestId() {
-        return record.id();
-    }
-
     @Override
     public String backendContentType() {
         return isStream() ? EVENT_STREAM : JSON;
--- a/node/src/main/java/fawnlb/messages/RequestRecord.java
+++ b/node/src/main/java/fawnlb/messages/RequestRecord.java
@@ -1,8 +1,10 @@
 package fawnlb.messages;
 
+import fawnlb.eventloop.EventLoopOnly;
 import fawnlb.translation.Dialect;
 
-/** What the log says of one request; fields are filled in as they become known. Used on one I/O thread. */
+/** What the log says of one request; fields are filled in as they become known. */
+@EventLoopOnly
 final class RequestRecord {
     private static final String UNKNOWN = "-";
 
--- a/node/src/main/java/fawnlb/syslog/SyslogFormatter.java
+++ b/node/src/main/java/fawnlb/syslog/SyslogFormatter.java
@@ -1,5 +1,6 @@
 package fawnlb.syslog;
 
+import fawnlb.eventloop.ThreadSafe;
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
 import java.time.ZoneOffset;
@@ -8,6 +9,7 @@
 import java.util.Map;
 
 /** Formats records with one element of structured data as RFC 5424 requires. Immutable. */
+@ThreadSafe
 public final class SyslogFormatter {
     /** RFC 5424, section 6.1: a receiver should accept records of this size. */
     static final int MAX_RECORD_BYTES = 2048;
--- a/node/src/main/java/fawnlb/syslog/SyslogSender.java
+++ b/node/src/main/java/fawnlb/syslog/SyslogSender.java
@@ -1,6 +1,7 @@
 package fawnlb.syslog;
 
 import fawnlb.eventloop.Mailbox;
+import fawnlb.eventloop.ThreadSafe;
 import fawnlb.eventloop.Timers;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,6 +12,7 @@
  * Sends records to a collector over UDP or TCP. Any thread may send: the records are handed to one I/O thread through a
  * mailbox. A record that the mailbox, the queue or the collector does not take is dropped and counted.
  */
+@ThreadSafe
 public final class SyslogSender {
     private final Mailbox mailbox;
     private final SyslogTransport transport;
--- a/node/src/main/java/fawnlb/syslog/SyslogTransport.java
+++ b/node/src/main/java/fawnlb/syslog/SyslogTransport.java
@@ -1,6 +1,9 @@
 package fawnlb.syslog;
 
-/** Carries formatted records to a collector. Called on one I/O thread; never blocks. */
+import fawnlb.eventloop.EventLoopOnly;
+
+/** Carries formatted records to a collector; never blocks. */
+@EventLoopOnly
 interface SyslogTransport {
     /** Sends a record now or later, or drops it. */
     void send(byte[] record);
