--- a/node/src/test/java/fawnlb/server/DiscoveryUpdateTest.java
+++ b/node/src/test/java/fawnlb/server/DiscoveryUpdateTest.java
@@ -45,9 +45,7 @@
         }
     }
 
-    /**
-     * The agent that is given the endpoint list still has to be watched, since the pushed list is only the first one.
-     */
+    /** A pushed list is only the first one: the server watches the agent for those that follow. */
     @Test
     public void pushedEndpointListIsFollowed() throws Exception {
         try (FakeHttpServer before = FakeHttpServer.responding(COMPLETE_STREAM);
