--- a/node/src/main/java/fawnlb/policy/AdmissionController.java
+++ b/node/src/main/java/fawnlb/policy/AdmissionController.java
@@ -17,9 +17,7 @@
     static final double MAX_SHED_FRACTION = 0.9;
     /** Up to this multiple of the best pace is ordinary load; measured on the first site. */
     static final double SLOW_STREAMS = 2.2;
-    /**
-     * A first token later than this fraction of its objective counts as late, a moment before the objective is missed.
-     */
+    /** A first token counts as late from this fraction of its objective on, before the objective is missed. */
     static final double LATE_OBJECTIVE_FRACTION = 0.8;
 
     /** Attempts of one endpoint over which its late fraction is averaged. */
