--- a/node/src/test/java/fawnlb/server/Await.java
+++ b/node/src/test/java/fawnlb/server/Await.java
@@ -2,10 +2,13 @@
 
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.LockSupport;
 
 /** Waits for conditions that other threads bring about. */
 final class Await {
     private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
+    /** Short beside all timeouts under test, and long enough to leave the processor to the server. */
+    private static final long POLL_INTERVAL_NANOS = TimeUnit.MICROSECONDS.toNanos(100);
 
     private Await() {}
 
@@ -22,7 +25,7 @@
             if (System.nanoTime() > deadlineNanos) {
                 throw new AssertionError("not within the timeout: " + expectation);
             }
-            Thread.yield();
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
