--- a/lab/src/main/java/fawnlb/lab/scenario/StartWithoutDiscovery.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/StartWithoutDiscovery.java
@@ -105,13 +105,7 @@
             } else {
                 beginOutage(testbed, outageSeconds);
             }
-            for (int i = 0; i < NODE_COUNT; i++) {
-                Path snapshotFile = testbed.directory().resolve("list-" + i);
-                testbed.startNode(i, writeOperatorFiles(startCase, snapshotFile, restored));
-            }
-            if (startCase.isDiscoveryAvailable()) {
-                TimeUnit.SECONDS.sleep(DISCOVERY_SECONDS);
-            }
+            startNodes(testbed, startCase, restored);
             LoadStatistics statistics = testbed.runLoad(turns, seconds, seed);
             if (System.getProperty("lab.logs") != null) {
                 System.out.println(testbed.nodes().get(0).readLog());
@@ -122,6 +116,18 @@
         }
     }
 
+    /** Starts all nodes, and gives them the time to read the list where discovery is there. */
+    private static void startNodes(Testbed testbed, StartCase startCase, List<DiscoveredEndpoint> restored)
+            throws IOException, InterruptedException {
+        for (int i = 0; i < NODE_COUNT; i++) {
+            Path snapshotFile = testbed.directory().resolve("list-" + i);
+            testbed.startNode(i, writeOperatorFiles(startCase, snapshotFile, restored));
+        }
+        if (startCase.isDiscoveryAvailable()) {
+            TimeUnit.SECONDS.sleep(DISCOVERY_SECONDS);
+        }
+    }
+
     private static List<DiscoveredEndpoint> ready(List<EngineServer> backends) {
         return EmulatedEndpoints.of(backends, EndpointPhase.READY);
     }
--- a/node/src/main/java/fawnlb/cli/Main.java
+++ b/node/src/main/java/fawnlb/cli/Main.java
@@ -20,6 +20,7 @@
 
     private Main() {}
 
+    /** Runs the command that the arguments name, and exits with its status. */
     public static void main(String[] arguments) {
         disableManagementBeans();
         setDefaultProperty(LOG_FORMAT_PROPERTY, LOG_FORMAT);
--- a/node/src/main/java/fawnlb/client/RequestForwarder.java
+++ b/node/src/main/java/fawnlb/client/RequestForwarder.java
@@ -16,6 +16,7 @@
 
     private final RequestProxy requestProxy;
 
+    /** Creates a forwarder to the proxy that all fronts share. */
     public RequestForwarder(RequestProxy requestProxy) {
         this.requestProxy = requestProxy;
     }
--- a/node/src/main/java/fawnlb/config/SettingsParser.java
+++ b/node/src/main/java/fawnlb/config/SettingsParser.java
@@ -68,6 +68,7 @@
         return reader.warnings();
     }
 
+    /** Reads all settings; one that can't be read keeps its default and adds a warning. */
     public LoadBalancerSettings parse() {
         List<RequestClass> classes = parseRequestClasses();
         List<Tenant> tenants = parseTenants();
--- a/node/src/main/java/fawnlb/discovery/EndpointListFormatException.java
+++ b/node/src/main/java/fawnlb/discovery/EndpointListFormatException.java
@@ -35,6 +35,7 @@
         this.reason = reason;
     }
 
+    /** Returns what is wrong with the endpoint list. */
     public Reason reason() {
         return reason;
     }
--- a/node/src/main/java/fawnlb/metrics/Metric.java
+++ b/node/src/main/java/fawnlb/metrics/Metric.java
@@ -53,6 +53,7 @@
         return seriesName;
     }
 
+    /** Returns the type that the series has in Prometheus' text. */
     public Type type() {
         return type;
     }
--- a/node/src/main/java/fawnlb/server/ClassArchiveWarmup.java
+++ b/node/src/main/java/fawnlb/server/ClassArchiveWarmup.java
@@ -27,6 +27,7 @@
     /** Starts a server with a configuration file, as the command line does. */
     @FunctionalInterface
     public interface ServerStarter {
+        /** Returns a server that accepts requests. */
         Server start(String configurationFile) throws ConfigurationException, IOException;
     }
 
--- a/node/src/main/java/fawnlb/snapshot/SnapshotFormatException.java
+++ b/node/src/main/java/fawnlb/snapshot/SnapshotFormatException.java
@@ -33,6 +33,7 @@
         this.reason = reason;
     }
 
+    /** Returns what is wrong with the snapshot. */
     public Reason reason() {
         return reason;
     }
