--- a/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
+++ b/node/src/test/java/fawnlb/policy/RequestLifecycleTest.java
@@ -19,6 +19,7 @@
 import fawnlb.decision.LoadBalancerEvent;
 import fawnlb.decision.LoadBalancerEvent.RequestArrived;
 import fawnlb.decision.LoadBalancerEvent.TimerFired;
+import fawnlb.decision.LoadBalancerSettings.Limits;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
@@ -226,7 +227,8 @@
     @Test
     void clientDisconnectCancelsItsAttemptOnlyWhereAllowed() {
         for (boolean allowed : new boolean[] {true, false}) {
-            TestSettings settings = new TestSettings().limits(TestSettings.limits(4, allowed));
+            boolean hedging = false;
+            TestSettings settings = new TestSettings().limits(new Limits(4, 1000, hedging, allowed, false, false, 0));
             LoadBalancerHarness harness = new LoadBalancerHarness(settings.build()).withReadyEndpoints(4);
             long id = harness.arrive(0, 5);
             harness.loadBalancer.onEvent(harness.now, new LoadBalancerEvent.ClientDisconnected(id));
--- a/node/src/test/java/fawnlb/proxy/AttemptLifecycleTest.java
+++ b/node/src/test/java/fawnlb/proxy/AttemptLifecycleTest.java
@@ -114,13 +114,16 @@
         harness.submit();
         harness.startAttempt(1, 7);
         harness.startResponse(0);
+        harness.timers.advance(0);
         harness.attemptListeners.get(0).onClientStalled();
         harness.attemptListeners.get(0).onClientStalled();
+        harness.timers.advance(0);
         int eventCount = harness.events.size();
         assertEquals(AttemptOutcome.CANCELLED, harness.lastReportedOutcome());
         assertEquals(1, harness.proxy.openRequests());
 
         harness.endAttempt(0, EndReason.COMPLETED);
+        harness.timers.advance(0);
 
         assertEquals(eventCount, harness.events.size());
         assertEquals(0, harness.proxy.openRequests());
--- a/node/src/test/java/fawnlb/restore/RestoredEndpointFilterTest.java
+++ b/node/src/test/java/fawnlb/restore/RestoredEndpointFilterTest.java
@@ -259,7 +259,7 @@
 
     @Test
     public void cachedListAfterDiscoveryHasAnsweredIsNotLimited() {
-        RestoredEndpointFilter filter = startWithFailedDiscovery(48 * NANOS_PER_HOUR, 1);
+        RestoredEndpointFilter filter = startWithFailedDiscovery(48 * NANOS_PER_HOUR, 1, 2, 3, 4, 5);
         receive(filter, NOW, update(EndpointUpdateKind.FULL, 1, 9));
 
         receive(filter, NOW, update(EndpointUpdateKind.CACHED, 7));
@@ -333,7 +333,7 @@
         }
         long triedByEither = limitSums.values().stream().filter(sum -> sum > 0).count();
         assertTrue(limitSums.toString(), triedByEither > 3);
-        assertTrue(limitSums.toString(), triedByEither < FOURTEEN_IDS.length);
+        assertTrue(limitSums.toString(), limitSums.containsValue(0));
     }
 
     /**
--- a/node/src/test/java/fawnlb/snapshot/SnapshotCodecTest.java
+++ b/node/src/test/java/fawnlb/snapshot/SnapshotCodecTest.java
@@ -10,12 +10,17 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
+import java.util.EnumSet;
+import java.util.Set;
 import java.util.zip.CRC32C;
 import org.junit.Test;
 
 public class SnapshotCodecTest {
     private static final int VERSION_OFFSET = 4;
     private static final int CHECKSUM_BYTES = 4;
+    /** What the first bytes, the length and the checksum tell, before the version or the body is looked at. */
+    private static final Set<Reason> FOUND_WITHOUT_PARSING =
+            EnumSet.of(Reason.TRUNCATED, Reason.NOT_A_SNAPSHOT, Reason.CORRUPTED);
 
     private static SnapshotFormatException assertRejected(String message, byte[] file) {
         return assertThrows(message, SnapshotFormatException.class, () -> SnapshotCodec.decode(file));
@@ -34,7 +39,8 @@
         for (int bit = 0; bit < file.length * Byte.SIZE; bit++) {
             byte[] corrupted = file.clone();
             corrupted[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
-            assertRejected("bit " + bit, corrupted);
+            Reason reason = assertRejected("bit " + bit, corrupted).reason();
+            assertTrue("bit " + bit + ": " + reason, FOUND_WITHOUT_PARSING.contains(reason));
         }
     }
 
--- a/node/src/test/java/fawnlb/stream/SilenceDetectorTest.java
+++ b/node/src/test/java/fawnlb/stream/SilenceDetectorTest.java
@@ -67,7 +67,12 @@
     @Test
     public void silenceCommonToMostBackendsGetsMaximumTimeout() {
         harness.trainSteadyBackends(5);
-        List<ResponseStream> streams = openStreamingStreams(5);
+
+        assertEndOnlyAtMaximum(openStreamingStreams(5));
+    }
+
+    /** Lets all streams be silent together: none ends before the maximum, and each ends at it. */
+    private void assertEndOnlyAtMaximum(List<ResponseStream> streams) {
         for (long at = startNanos; at < startNanos + MAX_SILENCE_NANOS; at += 10 * MILLISECOND_NANOS) {
             for (ResponseStream stream : streams) {
                 wakeUntil(stream, at);
@@ -76,7 +81,7 @@
         assertEquals(List.of(), harness.endReasons);
 
         streams.forEach(stream -> stream.wake(startNanos + MAX_SILENCE_NANOS));
-        assertEquals(5, harness.endReasons.size());
+        assertEquals(streams.size(), harness.endReasons.size());
     }
 
     @Test
@@ -92,9 +97,7 @@
     public void endedStreamsDoNotCountAsSilent() {
         harness.trainSteadyBackends(5);
         List<ResponseStream> streams = openStreamingStreams(5);
-        streams.forEach(stream -> wakeUntil(stream, startNanos + STEADY_SILENCE_NANOS / 2));
-        streams.forEach(stream -> wakeUntil(stream, startNanos + MAX_SILENCE_NANOS + 1));
-        assertEquals(5, harness.endReasons.size());
+        assertEndOnlyAtMaximum(streams);
         streams.forEach(stream -> stream.onBackendEnded(EndReason.STALLED));
         streams.forEach(ResponseStream::close);
         harness.endReasons.clear();
