--- a/node/src/test/java/fawnlb/server/MalformedRequestTest.java
+++ b/node/src/test/java/fawnlb/server/MalformedRequestTest.java
@@ -77,6 +77,8 @@
             "POST " + CHAT_PATH + " HTTP/1.1\r\nHost: x\r\n" + CLOSE_CONNECTION + "x-api-key: k\r\nX-Request-Id: i\r\n";
     private static final String BROKER_BODY =
             "{\"model\":\"m\",\"max_tokens\":5,\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
+    private static final String BROKER_REQUEST =
+            BROKER_HEAD + CHUNKED_ENCODING + "\r\n" + chunk(BROKER_BODY) + LAST_CHUNK;
     private static final String BROKER_CONFIG =
             "{\"listen\":\"127.0.0.1:0\",\"teams\":[{\"name\":\"t\",\"key\":\"k\",\"classes\":[\"chat\"],\"models\":[\"m\"],"
                     + "\"deadline-ms\":5000,\"budget\":{\"requests\":1000,\"tokens\":1000000,\"window-ms\":1000}}]}";
@@ -151,7 +153,7 @@
         }
     }
 
-    /** Both listeners share one parser. */
+    /** Both listeners share one parser. A rejection releases the request's id for the next request. */
     @Test
     public void brokerListenerParsesAsStrictly() throws Exception {
         try (FakeHttpServer backend = FakeHttpServer.responding(COMPLETE_STREAM);
@@ -168,12 +170,14 @@
                         response.startsWith("HTTP/1.1 " + rejection.status()));
             }
             assertEquals(0, backend.requests.size());
+
+            assertTrue(harness.exchangeWithBroker(BROKER_REQUEST).startsWith("HTTP/1.1 200"));
+            assertEquals(1, backend.requests.size());
         }
     }
 
     @Test
     public void brokerListenerRejectsDuplicateInFlightRequestId() throws Exception {
-        String request = BROKER_HEAD + CHUNKED_ENCODING + "\r\n" + chunk(BROKER_BODY) + LAST_CHUNK;
         CountDownLatch duplicateRejected = new CountDownLatch(1);
         try (FakeHttpServer backend = new FakeHttpServer((ignored, connection) -> {
                     duplicateRejected.await(10, TimeUnit.SECONDS);
@@ -182,10 +186,10 @@
                 ServerHarness harness = ServerHarness.withBroker(
                         ServerConfigJson.fixedList().endpoints(ready(1, backend)), BROKER_CONFIG);
                 Socket client = harness.connectToBroker()) {
-            write(client, request);
+            write(client, BROKER_REQUEST);
             waitUntil("request received", () -> backend.requests.size() == 1);
 
-            assertTrue(harness.exchangeWithBroker(request).startsWith("HTTP/1.1 409"));
+            assertTrue(harness.exchangeWithBroker(BROKER_REQUEST).startsWith("HTTP/1.1 409"));
 
             duplicateRejected.countDown();
             assertTrue(ServerHarness.readToResetOrEnd(client).startsWith("HTTP/1.1 200"));
--- a/node/src/test/java/fawnlb/server/ServerProcess.java
+++ b/node/src/test/java/fawnlb/server/ServerProcess.java
@@ -7,6 +7,7 @@
 import java.io.BufferedReader;
 import java.io.File;
 import java.io.IOException;
+import java.io.StringWriter;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -14,7 +15,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import java.util.stream.Collectors;
 
 /** The program in a process of its own, with the command line of the deploy file; it is killed when the test ends. */
 final class ServerProcess implements AutoCloseable {
@@ -102,8 +102,11 @@
         throw new IOException("the process ended without '" + text + "' in its log");
     }
 
-    String readLogToEnd() {
-        return log.lines().collect(Collectors.joining("\n"));
+    /** Reads the rest of the log, with all ends of its lines. */
+    String readLogToEnd() throws IOException {
+        StringWriter rest = new StringWriter();
+        log.transferTo(rest);
+        return rest.toString();
     }
 
     /** Sends a signal; unlike {@link Process#destroy}, it leaves the log to be read. */
--- a/node/src/test/java/fawnlb/simulator/SimulatorHostTest.java
+++ b/node/src/test/java/fawnlb/simulator/SimulatorHostTest.java
@@ -16,6 +16,16 @@
 import org.junit.jupiter.api.Test;
 
 class SimulatorHostTest {
+    /**
+     * Codes of the simulator's format, written out here because the simulator does not follow a change of the
+     * constants.
+     */
+    private static final int ATTACH_INSTANCE_CODE = 0;
+
+    private static final int ENDPOINTS_UPDATED_CODE = 1;
+    private static final int REQUEST_ARRIVED_CODE = 2;
+    private static final int ENDPOINT_LIST_CODE = 10;
+
     private static final String SETTINGS =
             "profiles.count=1\nprofiles.0.effect=safe\nprofiles.0.deadline-ns=4000000000\n";
 
@@ -36,7 +46,7 @@
         ByteBuffer buffer = ByteBuffer.allocate(1000).order(ByteOrder.LITTLE_ENDIAN);
         putAttachInstance(buffer);
         putEndpointList(buffer);
-        putRecordHeader(buffer, RecordCodes.ENDPOINTS_UPDATED, 3);
+        putRecordHeader(buffer, ENDPOINTS_UPDATED_CODE, 3);
         buffer.put((byte) 2).putLong(1).putShort((short) 1);
         putRequestArrived(buffer);
         return batch(4, Arrays.copyOf(buffer.array(), buffer.position()));
@@ -47,19 +57,19 @@
     }
 
     private static void putAttachInstance(ByteBuffer buffer) {
-        putRecordHeader(buffer, RecordCodes.ATTACH_INSTANCE, 3);
+        putRecordHeader(buffer, ATTACH_INSTANCE_CODE, 3);
         buffer.putLong(42).putInt(SETTINGS.length()).put(SETTINGS.getBytes(StandardCharsets.UTF_8));
     }
 
     private static void putEndpointList(ByteBuffer buffer) {
-        putRecordHeader(buffer, RecordCodes.ENDPOINT_LIST, 1);
+        putRecordHeader(buffer, ENDPOINT_LIST_CODE, 1);
         buffer.putInt(1);
         buffer.putLong(0).putFloat(1).put((byte) 1).putShort((short) 0);
         buffer.putInt(77).put((byte) 0).putShort((short) 0);
     }
 
     private static void putRequestArrived(ByteBuffer buffer) {
-        putRecordHeader(buffer, RecordCodes.REQUEST_ARRIVED, 3);
+        putRecordHeader(buffer, REQUEST_ARRIVED_CODE, 3);
         buffer.putLong(900).putShort((short) 0).putInt(0);
         buffer.putLong(0).putLong(1_000_000_000L).putLong(0).putLong(6);
         buffer.putFloat(10).putFloat(5).putFloat(20).put((byte) 0);
--- a/node/src/test/java/fawnlb/translation/CompletionRequestTest.java
+++ b/node/src/test/java/fawnlb/translation/CompletionRequestTest.java
@@ -79,6 +79,7 @@
         CompletionRequest request = decode(Dialect.MESSAGES, body);
 
         assertEquals("ab", request.system());
+        assertEquals("seven characters, rounded up", 2, request.promptTokens());
     }
 
     @Test
