--- a/node/src/main/java/fawnlb/translation/SseParser.java
+++ b/node/src/main/java/fawnlb/translation/SseParser.java
@@ -23,7 +23,6 @@
     record Event(String name, String data) {}
 
     private final ByteArrayOutputStream currentLine = new ByteArrayOutputStream();
-    private final List<Event> completed = new ArrayList<>();
     private boolean skipLineFeed;
     private String eventName = "";
     private StringBuilder eventData;
@@ -36,7 +35,7 @@
      * @throws MalformedResponseException if an event exceeds {@link #MAX_EVENT_BYTES}
      */
     List<Event> feed(ByteBuffer bytes) throws MalformedResponseBodyException {
-        completed.clear();
+        List<Event> completed = new ArrayList<>();
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
             boolean secondHalfOfCrLf = skipLineFeed && next == '\n';
@@ -45,13 +44,13 @@
                 continue;
             }
             if (next == '\n' || next == '\r') {
-                processLine(currentLine.toString(StandardCharsets.UTF_8));
+                processLine(currentLine.toString(StandardCharsets.UTF_8), completed);
                 currentLine.reset();
             } else {
                 addToLine(next);
             }
         }
-        return List.copyOf(completed);
+        return completed;
     }
 
     private void addToLine(byte next) throws MalformedResponseBodyException {
@@ -61,9 +60,9 @@
         }
     }
 
-    private void processLine(String line) {
+    private void processLine(String line, List<Event> completed) {
         if (line.isEmpty()) {
-            completeEvent();
+            completeEvent(completed);
             return;
         }
         int colon = line.indexOf(':');
@@ -79,7 +78,7 @@
     }
 
     /** An event without data is none. */
-    private void completeEvent() {
+    private void completeEvent(List<Event> completed) {
         if (eventData != null) {
             completed.add(new Event(eventName, eventData.toString()));
         }
--- a/node/src/test/java/fawnlb/translation/SseParserTest.java
+++ b/node/src/test/java/fawnlb/translation/SseParserTest.java
@@ -1,9 +1,11 @@
 package fawnlb.translation;
 
 import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertNull;
 import static org.junit.Assert.assertThrows;
 
 import java.io.IOException;
+import java.lang.ref.WeakReference;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -11,6 +13,9 @@
 import org.junit.Test;
 
 public class SseParserTest {
+    /** The first collection frees what nothing refers to; the others are for collectors that put it off. */
+    private static final int MAX_COLLECTIONS = 10;
+
     /** A stream and the events in it. */
     private record Case(String stream, List<SseParser.Event> events) {}
 
@@ -66,4 +71,23 @@
 
         assertThrows(MalformedResponseBodyException.class, () -> new SseParser().feed(endless));
     }
+
+    /** A parser lives as long as its stream, so what it retains counts once for each open stream. */
+    @Test
+    public void eventIsNotRetainedAfterItWasReturned() throws IOException {
+        SseParser parser = new SseParser();
+        WeakReference<SseParser.Event> event =
+                new WeakReference<>(feed(parser, "data: a\n\n").get(0));
+
+        for (int i = 0; i < MAX_COLLECTIONS && event.get() != null; i++) {
+            System.gc();
+        }
+
+        assertNull("the parser retains the event", event.get());
+        assertEquals(List.of(data("b")), feed(parser, "data: b\n\n"));
+    }
+
+    private static List<SseParser.Event> feed(SseParser parser, String text) throws IOException {
+        return parser.feed(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+    }
 }
