--- a/node/src/main/java/fawnlb/server/Server.java
+++ b/node/src/main/java/fawnlb/server/Server.java
@@ -104,12 +104,15 @@
      */
     public synchronized void start() throws IOException {
         eventLoop = startupRetry.run("I/O thread", EventLoop::start);
-        ReadinessGate readiness = new ReadinessGate(eventLoop.timers());
         connections = createConnectionTracker();
         listeners = new HttpListeners(eventLoop, connections, startupRetry);
         StreamRegistry streams = new StreamRegistry(streaming.timeouts());
         BackendPool backends = createBackendPool(streams);
-        startRequestProxy(backends, readiness);
+        RestoredEndpoints restored = RestoredEndpoints.read(
+                startup, configuration.initialEndpoints(), eventLoop.timers().now());
+        // The gate's wait for discovery starts here: the time in which the snapshot was read is no part of it.
+        ReadinessGate readiness = new ReadinessGate(eventLoop.timers());
+        startRequestProxy(backends, restored, readiness);
         openListeners(readiness);
         openAdminListener(new AdminHandler(streams, backends::describeAddress));
         eventLoop.startWatchdog();
@@ -140,9 +143,7 @@
     }
 
     /** Starts the proxy and, with the endpoints that are already known, discovery. */
-    private void startRequestProxy(BackendPool backends, ReadinessGate readiness) {
-        RestoredEndpoints restored = RestoredEndpoints.read(
-                startup, configuration.initialEndpoints(), eventLoop.timers().now());
+    private void startRequestProxy(BackendPool backends, RestoredEndpoints restored, ReadinessGate readiness) {
         SnapshotRecorder recorder = createSnapshotRecorder(restored);
         List<EndpointFilter> filters = createEndpointFilters(recorder, restored);
         EndpointPublisher publisher = new EndpointPublisher(
