--- a/lab/src/main/java/fawnlb/lab/scenario/StartWithoutDiscovery.java
+++ b/lab/src/main/java/fawnlb/lab/scenario/StartWithoutDiscovery.java
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Starts all nodes, and gives them the time to read the list where discovery is there. */
+    /** Starts all nodes, and gives them the time to read the endpoint list where discovery is there. */
     private static void startNodes(Testbed testbed, StartCase startCase, List<DiscoveredEndpoint> restored)
             throws IOException, InterruptedException {
         for (int i = 0; i < NODE_COUNT; i++) {
