--- a/node/src/test/java/fawnlb/client/ClientConnectionTrackerTest.java
+++ b/node/src/test/java/fawnlb/client/ClientConnectionTrackerTest.java
@@ -199,8 +199,10 @@
             StreamConnection connection = server.trackNext();
             send(client, REQUEST + "GET / HT");
             assertServed(client);
-            // The rest is read a few polls after the response was written.
-            for (int poll = 0; poll < 100 && connection.isOpen(); poll++) {
+            // The rest is read at a poll after the response was written; while it is given tasks, the thread may not
+            // poll.
+            long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(IoThread.TIMEOUT_SECONDS);
+            while (connection.isOpen() && System.nanoTime() < deadline) {
                 server.ioThread()
                         .run(() -> server.advanceAndCheckTimeouts(REQUEST_HEAD_TIMEOUT_NANOS + IDLE_TIMEOUT_NANOS));
             }
