--- a/node/src/test/java/fawnlb/eventloop/ManualTimers.java
+++ b/node/src/test/java/fawnlb/eventloop/ManualTimers.java
@@ -11,6 +11,7 @@
             new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::dueAt).thenComparingLong(ScheduledTask::order));
     private long now;
     private long nextOrder;
+    private long maxEventAgeNanos;
 
     /** Creates timers that start at this time, in nanoseconds. */
     public ManualTimers(long now) {
@@ -22,6 +23,16 @@
         return now;
     }
 
+    @Override
+    public long maxEventAgeNanos() {
+        return maxEventAgeNanos;
+    }
+
+    /** Sets for how long the event being handled may have waited for the event loop. */
+    public void setMaxEventAgeNanos(long nanos) {
+        maxEventAgeNanos = nanos;
+    }
+
     @Override
     public Timer schedule(long delayNanos, Runnable task) {
         ScheduledTask entry = new ScheduledTask(now + Math.max(0, delayNanos), nextOrder++, task);
--- a/node/src/test/java/fawnlb/policy/AdmissionControllerTest.java
+++ b/node/src/test/java/fawnlb/policy/AdmissionControllerTest.java
@@ -5,14 +5,9 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.Endpoint;
-import fawnlb.decision.EndpointPhase;
-import fawnlb.decision.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
 import fawnlb.decision.LoadBalancerSettings.Tenant;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.stream.LongStream;
 import org.junit.Before;
 import org.junit.Test;
 
@@ -27,13 +22,7 @@
 
     @Before
     public void list() {
-        List<Endpoint> endpoints = LongStream.range(0, ENDPOINTS)
-                .mapToObj(id -> new Endpoint(id, EndpointPhase.READY, 0, 1, 0, 0, 0))
-                .toList();
-        table.update(
-                new EndpointsUpdated(EndpointUpdateKind.FULL, 1, endpoints),
-                (known, listed) -> pace.onListed(known, listed.kind()));
-        table.recount();
+        PolicyFixtures.listReadyEndpoints(table, pace, ENDPOINTS, 1);
         pace.onReadyChanged(table.ready());
     }
 
--- a/node/src/test/java/fawnlb/policy/EndpointCapacityTest.java
+++ b/node/src/test/java/fawnlb/policy/EndpointCapacityTest.java
@@ -7,13 +7,7 @@
 import static org.junit.Assert.assertTrue;
 
 import fawnlb.decision.AttemptOutcome;
-import fawnlb.decision.Endpoint;
-import fawnlb.decision.EndpointPhase;
-import fawnlb.decision.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
 import fawnlb.decision.LoadBalancerSettings.EndpointLifecycle;
-import java.util.List;
-import java.util.stream.LongStream;
 import org.junit.Before;
 import org.junit.Test;
 
@@ -33,13 +27,7 @@
     /** Endpoints that started one after another, long ago. */
     @Before
     public void list() {
-        List<Endpoint> endpoints = LongStream.range(0, ENDPOINTS)
-                .mapToObj(id -> new Endpoint(id, EndpointPhase.READY, 0, 1, 0, 0, 0))
-                .toList();
-        table.update(
-                new EndpointsUpdated(EndpointUpdateKind.FULL, 1, endpoints),
-                (known, listed) -> pace.onListed(known, listed.kind()));
-        table.recount();
+        PolicyFixtures.listReadyEndpoints(table, pace, ENDPOINTS, 1);
         table.ready().forEach(endpoint -> endpoint.startedAt = 1 + endpoint.id);
         pace.onReadyChanged(table.ready());
         rollout.onReadyChanged(table.ready());
--- a/node/src/test/java/fawnlb/policy/PolicyFixtures.java
+++ b/node/src/test/java/fawnlb/policy/PolicyFixtures.java
@@ -1,10 +1,15 @@
 package fawnlb.policy;
 
+import fawnlb.decision.Endpoint;
 import fawnlb.decision.EndpointPhase;
+import fawnlb.decision.EndpointUpdateKind;
 import fawnlb.decision.Idempotency;
 import fawnlb.decision.IdempotencyScope;
+import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
 import fawnlb.decision.LoadBalancerEvent.RequestArrived;
 import fawnlb.decision.LoadBalancerSettings.RequestClass;
+import java.util.List;
+import java.util.stream.LongStream;
 
 /** Requests and endpoints for the tests of single classes. */
 final class PolicyFixtures {
@@ -55,4 +60,15 @@
     static EndpointState endpoint(long id) {
         return endpoint(id, 0, 0);
     }
+
+    /** Lists endpoints 0 to {@code count - 1}, all ready and in one zone, with as many kinds in turn as given. */
+    static void listReadyEndpoints(EndpointTable table, StreamPaceTracker pace, int count, int kinds) {
+        List<Endpoint> endpoints = LongStream.range(0, count)
+                .mapToObj(id -> new Endpoint(id, EndpointPhase.READY, 0, 1, 0, 0, (int) (id % kinds)))
+                .toList();
+        table.update(
+                new EndpointsUpdated(EndpointUpdateKind.FULL, 1, endpoints),
+                (known, listed) -> pace.onListed(known, listed.kind()));
+        table.recount();
+    }
 }
--- a/node/src/test/java/fawnlb/policy/StreamPaceTrackerTest.java
+++ b/node/src/test/java/fawnlb/policy/StreamPaceTrackerTest.java
@@ -4,12 +4,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import fawnlb.decision.Endpoint;
-import fawnlb.decision.EndpointPhase;
-import fawnlb.decision.EndpointUpdateKind;
-import fawnlb.decision.LoadBalancerEvent.EndpointsUpdated;
 import fawnlb.decision.LoadBalancerEvent.RequestArrived;
-import java.util.List;
 import java.util.stream.LongStream;
 import org.junit.Before;
 import org.junit.Test;
@@ -23,13 +18,7 @@
     /** Endpoints 0 and 2 are of kind 0, endpoints 1 and 3 of kind 1. */
     @Before
     public void list() {
-        List<Endpoint> endpoints = LongStream.range(0, ENDPOINTS)
-                .mapToObj(id -> new Endpoint(id, EndpointPhase.READY, 0, 1, 0, 0, (int) (id % 2)))
-                .toList();
-        table.update(
-                new EndpointsUpdated(EndpointUpdateKind.FULL, 1, endpoints),
-                (known, listed) -> pace.onListed(known, listed.kind()));
-        table.recount();
+        PolicyFixtures.listReadyEndpoints(table, pace, ENDPOINTS, 2);
         pace.onReadyChanged(table.ready());
     }
 
--- a/node/src/test/java/fawnlb/proxy/RequestProxyHarness.java
+++ b/node/src/test/java/fawnlb/proxy/RequestProxyHarness.java
@@ -11,6 +11,7 @@
 import fawnlb.decision.LoadBalancerEvent.RequestArrived;
 import fawnlb.decision.LoadBalancerSettings;
 import fawnlb.eventloop.Mailbox;
+import fawnlb.eventloop.ManualTimers;
 import fawnlb.stream.AttemptEnd;
 import fawnlb.stream.EndReason;
 import java.nio.ByteBuffer;
@@ -22,6 +23,8 @@
  * hand.
  */
 final class RequestProxyHarness {
+    private static final long START_NANOS = 1_000_000_000;
+
     static final long MS = 1_000_000;
     /** How long the client of {@link #submit()} waits for its response to begin. */
     static final long CLIENT_TIMEOUT_NANOS = 100 * MS;
@@ -38,7 +41,7 @@
 
     final List<Long> sendDeadlines = new ArrayList<>();
     final List<Long> responseDeadlines = new ArrayList<>();
-    final ManualTimers timers = new ManualTimers();
+    final ManualTimers timers = new ManualTimers(START_NANOS);
     final RequestProxy proxy;
     private LoadBalancer.ActionSink actions;
     private Class<?> failingEventType;
